--- a/io/beryledge/actor.go
+++ b/io/beryledge/actor.go
@@ -1,6 +1,6 @@
 package beryledge
 
-// This file defines the actor that owns what decides.
+// This file defines the actor that owns the state behind all decisions.
 
 import (
 	"fmt"
@@ -17,34 +17,36 @@
 )
 
 const (
-	// tickEvery is the time between two ticks of the core.
-	tickEvery = 50 * time.Millisecond
-	// sweepEvery is the time between two looks for idle connections.
-	sweepEvery = 500 * time.Millisecond
-	// reportEvery is the time between two reports to peers. What a daemon does
-	// not know of the others' dispatches is half of this on average.
-	reportEvery = 200 * time.Millisecond
-	// reportSampled is the same in a large fleet, where engines' own word counts
-	// and the rates of organisations change slowly.
-	reportSampled = 400 * time.Millisecond
-	// syncEvery is the time between two full exchanges of the membership with a
+	// tickInterval is the time between two ticks of the core.
+	tickInterval = 50 * time.Millisecond
+	// sweepInterval is the time between two sweeps of idle connections.
+	sweepInterval = 500 * time.Millisecond
+	// reportInterval is the time between two reports to peers. On average a daemon does
+	// not know the others' dispatches of half this time.
+	reportInterval = 200 * time.Millisecond
+	// sampledReportInterval replaces reportInterval in a large fleet, where estimates
+	// rely on the load that engines report themselves and the rates of organisations
+	// change slowly.
+	sampledReportInterval = 400 * time.Millisecond
+	// syncInterval is the time between two full exchanges of the membership with a
 	// seed or a peer.
-	syncEvery = 5 * time.Second
-	// joinEvery is the same while no peer is known.
-	joinEvery = 300 * time.Millisecond
-	// behindFor is how long a peer's news may be missing at a watcher before it
-	// asks for them: the store tells both at about the same time.
-	behindFor = 250 * time.Millisecond
-	// contactUnknown is told where no contact with the store is known of.
-	contactUnknown = time.Hour
-	// pauseAfter is the gap between ticks that shows that the process slept.
-	pauseAfter = time.Second
+	syncInterval = 5 * time.Second
+	// joinInterval replaces syncInterval while no peer is known.
+	joinInterval = 300 * time.Millisecond
+	// pullDelay is how long a watcher may lack changes that a peer has before it pulls
+	// them: the store sends them to both at about the same time.
+	pullDelay = 250 * time.Millisecond
+	// unknownContactAge is reported where no contact with the store is known.
+	unknownContactAge = time.Hour
+	// suspendThreshold is the gap between ticks beyond which the process counts as
+	// suspended in between.
+	suspendThreshold = time.Second
 )
 
 // The messages of the actor.
 type (
-	tick     struct{}
-	fromPeer struct {
+	tick         struct{}
+	peerMessages struct {
 		from     berylspoke.VMID
 		messages []berylspoke.Message
 	}
@@ -54,22 +56,22 @@
 	}
 	reserve struct {
 		request *berylgate.Request
-		may     chan bool
+		granted chan bool
 	}
-	began struct {
+	answerStarted struct {
 		request *berylgate.Request
 		load    *berylspoke.EngineLoad
 	}
-	ended struct {
+	attemptEnded struct {
 		request *berylgate.Request
 		outcome berylgate.Outcome
 	}
-	timedWay struct {
-		target berylspoke.TargetID
-		taken  time.Duration
+	connectTimed struct {
+		target   berylspoke.TargetID
+		duration time.Duration
 	}
-	// fromStore is what a list or a watch of the store returned.
-	fromStore struct {
+	// storeAnswer is the result of a list or a watch of the store.
+	storeAnswer struct {
 		feed  berylfeed.Name
 		items []berylspoke.Item
 		asOf  berylspoke.Revision
@@ -81,28 +83,31 @@
 	}
 	// inspect runs a function on the core.
 	inspect struct {
-		look func(now time.Time, core *core)
-		done chan struct{}
+		function func(now time.Time, core *core)
+		done     chan struct{}
 	}
 )
 
-// core is the actor.
+// core is the actor of a daemon.
 type core struct {
 	daemon *Daemon
 	gate   *berylgate.Gate
 	table  *berylmember.Table
 	feeds  [berylfeed.Count]*berylfeed.Feed
-	// contacts are the answers of the store to any daemon.
+	// contacts are the latest answers of the store to any daemon.
 	contacts berylfeed.Contacts
-	// emptied are the failure domains to whose targets nothing more is to be sent.
-	emptied map[berylspoke.FailureDomain]bool
-	behind  [berylfeed.Count]time.Time
-	regrace time.Time
-	ticked  time.Time
-	// withdrawn is until when callers are not told of this daemon.
-	withdrawn time.Time
-	reported  time.Time
-	synced    time.Time
+	// evacuated are the failure domains whose targets get no more requests.
+	evacuated map[berylspoke.FailureDomain]bool
+	// behindSince is when a peer was first seen to have changes that this daemon lacks, or
+	// when they were last pulled; zero if there are none.
+	behindSince [berylfeed.Count]time.Time
+	// graceEnd is when the first grace of a vanished target ends, zero for none.
+	graceEnd time.Time
+	lastTick time.Time
+	// withdrawnUntil is until when this daemon's address is not given to callers.
+	withdrawnUntil time.Time
+	lastReport     time.Time
+	lastSync       time.Time
 }
 
 var _ actor.Actor = (*core)(nil)
@@ -120,12 +125,12 @@
 		}),
 		table:    berylmember.NewTable(now, vm, daemon.incarnation, options),
 		contacts: berylfeed.NewContacts(uint32(xxhash.Sum64String(fmt.Sprint(settings.VM, daemon.incarnation)))),
-		ticked:   now,
+		lastTick: now,
 	}
 	core.table.Join(now, settings.Seeds)
 	for name := range core.feeds {
 		core.feeds[name] = berylfeed.New()
-		core.feeds[name].SetPatience(fedFor + answerWithin)
+		core.feeds[name].SetPatience(maxContactAge + firstAnswerDelay)
 	}
 	return core
 }
@@ -137,38 +142,38 @@
 	case submit:
 		message.decision <- core.gate.Submit(now, message.request)
 	case reserve:
-		message.may <- core.gate.Reserve(now, message.request)
-	case began:
+		message.granted <- core.gate.Reserve(now, message.request)
+	case answerStarted:
 		core.gate.Began(now, message.request, message.load)
-	case ended:
+	case attemptEnded:
 		core.gate.Ended(now, message.request, message.outcome)
-	case timedWay:
-		core.gate.TimedWay(message.target, message.taken)
+	case connectTimed:
+		core.gate.TimedWay(message.target, message.duration)
 	case tick:
 		core.tick(now)
-	case fromPeer:
+	case peerMessages:
 		for _, item := range message.messages {
 			core.deliver(now, message.from, item)
 		}
-	case fromStore:
-		core.fromStore(now, message)
+	case storeAnswer:
+		core.applyStoreAnswer(now, message)
 	case storeFailed:
 		if core.feeds[message.feed].Failed() {
 			core.daemon.log.Warn("store lost", zap.Uint8("feed", uint8(message.feed)), cause(message.err))
 		}
 	case inspect:
-		message.look(now, core)
+		message.function(now, core)
 		close(message.done)
 	}
 }
 
 func (core *core) tick(now time.Time) {
-	if now.Sub(core.ticked) > pauseAfter {
+	if now.Sub(core.lastTick) > suspendThreshold {
 		core.table.Resume(now)
-		core.daemon.log.Warn("process slept", zap.Duration("for", now.Sub(core.ticked)))
+		core.daemon.log.Warn("process slept", zap.Duration("for", now.Sub(core.lastTick)))
 	}
-	core.daemon.strain.observe(now.Sub(core.ticked) - tickEvery)
-	core.ticked = now
+	core.daemon.pressure.observe(now.Sub(core.lastTick) - tickInterval)
+	core.lastTick = now
 	for _, due := range core.table.Tick(now) {
 		for _, to := range due.To {
 			core.daemon.transport.Send(to, due.Beat)
@@ -179,32 +184,32 @@
 	core.withdraw(now)
 	core.syncMembers(now)
 	core.gate.Tick(now)
-	every := reportEvery
+	interval := reportInterval
 	if core.gate.Sampled() {
-		every = reportSampled
+		interval = sampledReportInterval
 	}
-	if now.Sub(core.reported) >= every || core.gate.Urgent() {
-		core.reported = now
+	if now.Sub(core.lastReport) >= interval || core.gate.Urgent() {
+		core.lastReport = now
 		core.report(now)
 	}
 	if core.gate.Sampled() {
-		core.tellUsage(now)
+		core.sendUsageReports(now)
 	}
-	if !core.regrace.IsZero() && !now.Before(core.regrace) {
+	if !core.graceEnd.IsZero() && !now.Before(core.graceEnd) {
 		core.refreshTargets(now)
 	}
 	core.refreshMembers(now)
 }
 
-// report tells the peers what this daemon dispatched and knows.
+// report sends the peers what this daemon dispatched and the state of its feeds.
 func (core *core) report(now time.Time) {
 	report := core.gate.Report(now)
 	for _, feed := range core.feeds {
 		report.Feeds = append(report.Feeds, feed.Last())
 	}
-	contact := core.contact(now)
+	contact := core.newestContact(now)
 	report.Contact, report.ContactID = contact.Age, contact.ID
-	to := core.others()
+	to := core.livePeers()
 	if len(to) > berylgate.FullMesh {
 		to = core.table.Links()
 	}
@@ -213,18 +218,18 @@
 	}
 }
 
-// contact returns the newest answer of the store to this daemon or one that it heard
-// of. It is passed on from daemon to daemon, so that a large fleet needs no more
-// watchers than a small one. Its age is the true one: watchers that told none while
-// their last answer was still recent hid a silent store from all others for as long
-// again, and these sent requests to targets that had left.
-func (core *core) contact(now time.Time) berylfeed.Contact {
+// newestContact returns the newest answer of the store to this daemon or to one that
+// it has reports of. Daemons pass it on, so that a large fleet needs no more watchers
+// than a small one. Its age is exact: when watchers reported no age while their last
+// answer was still recent, the others noticed a silent store twice as late and sent
+// requests to targets that had left.
+func (core *core) newestContact(now time.Time) berylfeed.Contact {
 	core.contacts.Own(core.ownContact())
-	return core.contacts.Contact(now, contactUnknown)
+	return core.contacts.Contact(now, unknownContactAge)
 }
 
-// ownContact returns since when the store has answered this daemon on all feeds,
-// zero if it has not.
+// ownContact returns the oldest of the feeds' last answers from the store to this
+// daemon, zero if a feed has none.
 func (core *core) ownContact() time.Time {
 	oldest := core.feeds[0].Contact()
 	for _, feed := range core.feeds[1:] {
@@ -235,15 +240,15 @@
 	return oldest
 }
 
-// fed takes the newest answer of the store that a peer knows of.
-func (core *core) fed(now time.Time, contact berylfeed.Contact) {
+// observeContact records the newest answer of the store that a peer reports.
+func (core *core) observeContact(now time.Time, contact berylfeed.Contact) {
 	core.contacts.Heard(now, contact)
 	newest := core.contacts.Newest()
 	for _, feed := range core.feeds {
 		feed.Reached(now, newest)
 	}
-	if newest.UnixNano() > core.daemon.fed.Load() {
-		core.daemon.fed.Store(newest.UnixNano())
+	if newest.UnixNano() > core.daemon.lastContact.Load() {
+		core.daemon.lastContact.Store(newest.UnixNano())
 	}
 }
 
@@ -255,48 +260,48 @@
 		}
 	case berylgate.Report:
 		core.gate.Heard(now, from, message)
-		core.fed(now, berylfeed.Contact{ID: message.ContactID, Age: message.Contact})
-		core.compare(now, from, message.Feeds)
+		core.observeContact(now, berylfeed.Contact{ID: message.ContactID, Age: message.Contact})
+		core.compareFeeds(now, from, message.Feeds)
 	case berylgate.Usage:
 		core.gate.HeardUsage(now, from, message)
 	case berylfeed.Pull:
 		if message.Feed >= berylfeed.Count {
 			return
 		}
-		if delta, news := core.feeds[message.Feed].Since(now, message.Feed, message.After); news {
+		if delta, changed := core.feeds[message.Feed].Since(now, message.Feed, message.After); changed {
 			core.daemon.transport.Send(from, delta)
 		}
 	case berylfeed.Delta:
 		if message.Feed < berylfeed.Count {
-			core.merge(now, from, message)
+			core.mergeDelta(now, from, message)
 		}
 	}
 }
 
-// tell hands the actor a message.
-func (daemon *Daemon) tell(message any) { daemon.system.Root.Send(daemon.core, message) }
+// send puts a message into the actor's mailbox.
+func (daemon *Daemon) send(message any) { daemon.system.Root.Send(daemon.core, message) }
 
-// look runs a function on the core and waits for it.
-func (daemon *Daemon) look(look func(now time.Time, core *core)) {
+// inspectCore runs a function in the actor and waits for it.
+func (daemon *Daemon) inspectCore(function func(now time.Time, core *core)) {
 	done := make(chan struct{})
-	daemon.tell(inspect{look, done})
+	daemon.send(inspect{function, done})
 	select {
 	case <-done:
 	case <-daemon.ctx.Done():
 	}
 }
 
-func (daemon *Daemon) keepTime() {
-	ticker := time.NewTicker(tickEvery)
+func (daemon *Daemon) runTimers() {
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
-	sweeper := time.NewTicker(sweepEvery)
+	sweeper := time.NewTicker(sweepInterval)
 	defer sweeper.Stop()
 	for {
 		select {
 		case <-daemon.ctx.Done():
 			return
 		case <-ticker.C:
-			daemon.tell(tick{})
+			daemon.send(tick{})
 		case now := <-sweeper.C:
 			daemon.pool.Sweep(now)
 			daemon.sweepIdle(now)
--- a/io/beryledge/admission.go
+++ b/io/beryledge/admission.go
@@ -21,46 +21,45 @@
 )
 
 const (
-	// slotsPerCore is the number of requests for each core that may be on their way
-	// from being read to being sent on.
+	// slotsPerCore is the number of requests per core that may be between being read and
+	// being sent to a target.
 	slotsPerCore = 8
-	// expireAfter is when a handler whose request waits looks for its expiry; the queue
-	// rejects it earlier if anything else happens there.
-	expireAfter = 60 * time.Millisecond
-	// retryPart is the part of its objective after which a rejected caller may come
-	// back, at least; a random time up to as much again is added. The objective runs
-	// from the caller's first attempt, and one that returns after it takes the place
-	// of others that could still be answered in time.
-	retryPart = 0.2
-	// unknownObjective is taken for requests that name no route.
-	unknownObjective = time.Second
+	// expiryCheckDelay is how long a handler waits for a decision before it lets the queue
+	// expire requests itself. Other events at the queue may expire them earlier.
+	expiryCheckDelay = 60 * time.Millisecond
+	// retryFraction is the fraction of its objective after which a rejected caller may
+	// retry at the earliest; a random time up to as much again is added. The objective
+	// runs from the caller's first attempt, and a retry after it displaces requests that
+	// could still be answered in time.
+	retryFraction = 0.2
+	// defaultObjective applies to requests whose route is not known.
+	defaultObjective = time.Second
 )
 
-// admission is the queue of requests that wait for the processor, and who waits there.
+// admission is the queue of requests that wait for the processor, with their waiters.
 type admission struct {
-	mutex   sync.Mutex
-	queue   *beryladmission.Queue
-	waiters map[beryladmission.Ticket]waiter
-	last    beryladmission.Ticket
-	// rejected are the tokens of requests rejected since they were last collected, by
-	// the cause.
+	mutex      sync.Mutex
+	queue      *beryladmission.Queue
+	waiters    map[beryladmission.Ticket]waiter
+	lastTicket beryladmission.Ticket
+	// rejected are the tokens of requests rejected since the last collection, by cause.
 	rejected [beryladmission.Causes]map[berylspoke.OrganisationID]berylspoke.Tokens
-	// undecided are the tokens of requests that were admitted and that the gate has not
-	// decided on.
+	// undecided are the tokens of requests that are admitted but not yet decided by the
+	// gate.
 	undecided map[berylspoke.OrganisationID]berylspoke.Tokens
-	// wakeup is the pipe to the goroutine that admits waiting requests; woken says that
-	// it was written to.
+	// wakeup is the pipe to the goroutine that admits waiting requests; woken is set
+	// while a written byte is unread.
 	wakeup io.Writer
 	woken  bool
 }
 
-// demand is what a request says of itself that decides when it is admitted.
+// demand holds the properties of a request that determine when it is admitted.
 type demand struct {
 	organisation berylspoke.OrganisationID
-	// tokens are what it counts in its organisation's share, zero if it is not for a
-	// model engine.
+	// tokens are charged to its organisation's share, zero if it is not for a model
+	// engine.
 	tokens berylspoke.Tokens
-	// objective is the time within which its answer counts, zero if not known.
+	// objective is the time in which it should be answered, zero if not known.
 	objective time.Duration
 }
 
@@ -73,7 +72,7 @@
 func newAdmission(ctx context.Context) (*admission, error) {
 	reader, writer, err := os.Pipe()
 	if err != nil {
-		return nil, errors.Wrap(err, "pipe cannot be opened")
+		return nil, errors.Wrap(err, "cannot open wakeup pipe")
 	}
 	admission := &admission{
 		queue:     beryladmission.NewQueue(slotsPerCore * runtime.GOMAXPROCS(0)),
@@ -89,9 +88,9 @@
 	return admission, nil
 }
 
-// run admits waiting requests. It is woken through a pipe because the scheduler polls
-// descriptors only once no goroutine is runnable: answers to requests admitted before
-// are passed on first. Woken by a channel it would run before them.
+// run admits waiting requests. It is woken through a pipe because the Go scheduler polls
+// descriptors only when no goroutine is runnable, so that the answers to requests
+// admitted before are forwarded first. Woken by a channel it would run before them.
 func (admission *admission) run(wakeups io.Reader) {
 	buffer := make([]byte, 1)
 	for {
@@ -105,8 +104,8 @@
 	}
 }
 
-// change applies a change to the queue and notifies the waiters that it decided on.
-// They are notified without the lock, as some write answers.
+// change applies a change to the queue and notifies the waiters whose requests it
+// decided. It notifies them without the lock, as some of them write answers.
 func (admission *admission) change(apply func(now time.Time) beryladmission.Change) {
 	admission.mutex.Lock()
 	change := apply(time.Now())
@@ -124,7 +123,7 @@
 	}
 }
 
-// remove takes out the waiters of some tickets; the lock is held.
+// remove removes and returns the waiters of some tickets. The caller holds the lock.
 func (admission *admission) remove(tickets []beryladmission.Ticket) []waiter {
 	var removed []waiter
 	for _, ticket := range tickets {
@@ -134,37 +133,38 @@
 	return removed
 }
 
-// offer asks for a request to be admitted; its waiter is notified now or later.
+// offer puts a request into the queue; its waiter is notified now or later.
 func (admission *admission) offer(demand demand, waiter waiter) {
 	admission.change(func(now time.Time) beryladmission.Change {
-		admission.last++
-		admission.waiters[admission.last] = waiter
-		return admission.queue.Offer(now, demand.request(admission.last))
+		admission.lastTicket++
+		admission.waiters[admission.lastTicket] = waiter
+		return admission.queue.Offer(now, demand.request(admission.lastTicket))
 	})
 }
 
-// request returns what the queue judges by.
+// request returns the demand as an entry of the queue.
 func (demand demand) request(ticket beryladmission.Ticket) beryladmission.Request {
 	return beryladmission.Request{Ticket: ticket, Organisation: demand.organisation, Tokens: demand.tokens}
 }
 
-// reject reports why a request is to be rejected without being offered.
+// reject returns the cause for which a request is rejected without being offered, if any.
 func (admission *admission) reject(demand demand) beryladmission.Cause {
 	admission.mutex.Lock()
 	defer admission.mutex.Unlock()
 	return admission.queue.Reject(time.Now(), demand.request(0))
 }
 
-// mostlyRejected reports whether an organisation's requests are mostly rejected now.
+// mostlyRejected reports whether a large part of an organisation's latest requests was
+// rejected.
 func (admission *admission) mostlyRejected(organisation berylspoke.OrganisationID) bool {
 	admission.mutex.Lock()
 	defer admission.mutex.Unlock()
 	return admission.queue.MostlyRejected(organisation)
 }
 
-// allow takes what organisations beyond their cap may still begin. What was admitted
-// and is not decided on will draw on it.
-func (admission *admission) allow(allowances map[berylspoke.OrganisationID]float64) {
+// setAllowances sets the tokens that organisations beyond their cap may still start.
+// Requests that are admitted but not yet decided by the gate are deducted.
+func (admission *admission) setAllowances(allowances map[berylspoke.OrganisationID]float64) {
 	admission.mutex.Lock()
 	defer admission.mutex.Unlock()
 	for organisation := range allowances {
@@ -173,23 +173,24 @@
 	admission.queue.SetAllowances(allowances)
 }
 
-// hold returns the slot of an admitted request.
-func (admission *admission) hold(demand demand) *slot {
+// newSlot returns the slot that the queue assigned to an admitted request.
+func (admission *admission) newSlot(demand demand) *slot {
 	admission.mutex.Lock()
 	defer admission.mutex.Unlock()
 	admission.undecided[demand.organisation] += demand.tokens
 	return &slot{admission: admission, demand: demand}
 }
 
-// begin takes a slot for a request that was admitted before it was read whole.
-func (admission *admission) begin(demand demand) *slot {
+// acquireSlot takes a slot without queueing, for a request that was admitted before it
+// was parsed.
+func (admission *admission) acquireSlot(demand demand) *slot {
 	admission.mutex.Lock()
 	admission.queue.Begin()
 	admission.mutex.Unlock()
-	return admission.hold(demand)
+	return admission.newSlot(demand)
 }
 
-// done frees a slot.
+// done returns a slot to the queue.
 func (admission *admission) done(demand demand) {
 	admission.change(func(time.Time) beryladmission.Change {
 		if admission.undecided[demand.organisation] -= demand.tokens; admission.undecided[demand.organisation] <= 0 {
@@ -210,8 +211,9 @@
 	return admission.queue.Overloaded(now)
 }
 
-// count adds a rejected request to those that count in shares.
-func (admission *admission) count(demand demand, cause beryladmission.Cause) {
+// countRejected adds the tokens of a rejected request to those that collectRejected
+// returns.
+func (admission *admission) countRejected(demand demand, cause beryladmission.Cause) {
 	if demand.tokens == 0 {
 		return
 	}
@@ -223,8 +225,9 @@
 	admission.rejected[cause][demand.organisation] += demand.tokens
 }
 
-// collect returns the tokens of requests rejected for a cause since the last call.
-func (admission *admission) collect(cause beryladmission.Cause) map[berylspoke.OrganisationID]berylspoke.Tokens {
+// collectRejected returns the tokens of requests rejected for a cause since the last
+// call.
+func (admission *admission) collectRejected(cause beryladmission.Cause) map[berylspoke.OrganisationID]berylspoke.Tokens {
 	admission.mutex.Lock()
 	defer admission.mutex.Unlock()
 	rejected := admission.rejected[cause]
@@ -232,28 +235,29 @@
 	return rejected
 }
 
-// slot is held by an admitted request until it is sent on; a nil slot is free.
+// slot is held by an admitted request until it is sent to a target; a nil slot counts
+// as released.
 type slot struct {
 	admission *admission
 	demand    demand
-	freed     atomic.Bool
+	released  atomic.Bool
 }
 
-// free frees the slot and reports whether it was held.
-func (slot *slot) free() bool {
-	if slot == nil || slot.freed.Swap(true) {
+// release releases the slot and reports whether it was held.
+func (slot *slot) release() bool {
+	if slot == nil || slot.released.Swap(true) {
 		return false
 	}
 	slot.admission.done(slot.demand)
 	return true
 }
 
-// handlerWaiter is a parsed request whose handler waits for the decision.
+// handlerWaiter notifies the handler of a parsed request.
 type handlerWaiter chan bool
 
 func (waiter handlerWaiter) decided(admitted bool) { waiter <- admitted }
 
-// wait returns a slot once a request is admitted, nil if it is rejected.
+// wait queues a request and returns its slot once it is admitted, nil if it is rejected.
 func (admission *admission) wait(demand demand) *slot {
 	waiter := make(handlerWaiter, 1)
 	admission.offer(demand, waiter)
@@ -261,7 +265,7 @@
 	select {
 	case admitted = <-waiter:
 	default:
-		timer := time.NewTimer(expireAfter)
+		timer := time.NewTimer(expiryCheckDelay)
 		defer timer.Stop()
 		select {
 		case admitted = <-waiter:
@@ -273,25 +277,25 @@
 	if !admitted {
 		return nil
 	}
-	return admission.hold(demand)
+	return admission.newSlot(demand)
 }
 
-// retryAfter returns when the rejected caller may come back.
+// retryAfter returns the delay after which a rejected caller may retry.
 func (demand demand) retryAfter() time.Duration {
 	objective := demand.objective
 	if objective == 0 {
-		objective = unknownObjective
+		objective = defaultObjective
 	}
-	return time.Duration(retryPart * float64(objective) * (1 + rand.Float64()))
+	return time.Duration(retryFraction * float64(objective) * (1 + rand.Float64()))
 }
 
-// takeSlot waits until the request is admitted, or rejects it. One that was admitted
-// before it was parsed does not wait again.
+// takeSlot waits until the request is admitted, or answers that it is rejected. A
+// request that was admitted before it was parsed does not wait again.
 func (call *call) takeSlot(admitted bool) bool {
 	admission := call.daemon.admission
 	demand := newDemand(call.organisation, call.request.Input, call.request.Output, call.route)
 	if admitted {
-		call.slot = admission.begin(demand)
+		call.slot = admission.acquireSlot(demand)
 		return true
 	}
 	cause := admission.reject(demand)
@@ -301,13 +305,13 @@
 		}
 		cause = beryladmission.Overload
 	}
-	call.daemon.rejected(demand, cause)
-	call.answer(http.StatusServiceUnavailable, reasons[cause], demand.retryAfter())
+	call.daemon.countRejected(demand, cause)
+	call.answer(http.StatusServiceUnavailable, rejectionReasons[cause], demand.retryAfter())
 	return false
 }
 
-// reasons are what callers are told of a rejection.
-var reasons = [beryladmission.Causes]berylspoke.Reason{
+// rejectionReasons are the reasons in the answers to rejected requests.
+var rejectionReasons = [beryladmission.Causes]berylspoke.Reason{
 	beryladmission.Overload: berylspoke.ReasonProcessor,
 	beryladmission.OverCap:  berylspoke.ReasonOverload,
 }
@@ -324,21 +328,21 @@
 	return demand
 }
 
-// rejected counts a rejected request.
-func (daemon *Daemon) rejected(demand demand, cause beryladmission.Cause) {
-	daemon.admission.count(demand, cause)
+// countRejected counts a rejected request in its organisation's share and in the metrics.
+func (daemon *Daemon) countRejected(demand demand, cause beryladmission.Cause) {
+	daemon.admission.countRejected(demand, cause)
 	daemon.meters.rejections.count(demand.organisation, cause)
 }
 
-// refreshAdmission tells the gate what was rejected and the queue what organisations
-// beyond their cap may begin.
+// refreshAdmission reports the rejected tokens to the gate and sets in the queue what
+// organisations beyond their cap may still start.
 func (core *core) refreshAdmission(now time.Time) {
 	admission := core.daemon.admission
-	core.gate.Rejected(now, admission.collect(beryladmission.Overload))
-	core.gate.RejectedOverCap(now, admission.collect(beryladmission.OverCap))
+	core.gate.Rejected(now, admission.collectRejected(beryladmission.Overload))
+	core.gate.RejectedOverCap(now, admission.collectRejected(beryladmission.OverCap))
 	if !admission.overloaded(now) {
-		admission.allow(nil)
+		admission.setAllowances(nil)
 		return
 	}
-	admission.allow(core.gate.Allowances(now))
+	admission.setAllowances(core.gate.Allowances(now))
 }
--- a/io/beryledge/attempt.go
+++ b/io/beryledge/attempt.go
@@ -20,134 +20,136 @@
 )
 
 const (
-	// answerBytes bounds the answer of a plain service, which is held whole
-	// before any of it is passed on.
-	answerBytes = 16 << 20
-	// patienceLeast and patienceFactor give the time without a first byte after
-	// which a request that may be repeated goes elsewhere: what is expected, many
-	// times over, and longer than a lost packet takes.
-	patienceLeast  = 900 * time.Millisecond
-	patienceFactor = 4
+	// maxAnswerBytes bounds the answer of a plain service, which is buffered whole
+	// before any of it is forwarded.
+	maxAnswerBytes = 16 << 20
+	// minFirstByteTimeout and firstByteTimeoutFactor determine the time without a first
+	// byte after which a repeatable request is retried at another target: a multiple of
+	// the expected time, and longer than the retransmission of a lost packet takes.
+	minFirstByteTimeout    = 900 * time.Millisecond
+	firstByteTimeoutFactor = 4
 )
 
-var errImpatient = errors.New("target is silent")
+var errFirstByteTimeout = errors.New("target is silent")
 
-// attempt sends the request to the decided target and passes the answer on. It
-// returns false if the request may go on elsewhere.
+// attempt sends the request to the chosen target and forwards the answer. It returns
+// false if the request may be retried at another target.
 func (call *call) attempt(decision berylgate.Decision) bool {
 	ctx, cancel := context.WithCancelCause(call.ctx)
 	defer cancel(nil)
 	if call.repeatable() && call.request.Attempts > 1 {
-		patience := max(patienceLeast, patienceFactor*decision.Expected)
-		timer := time.AfterFunc(patience, func() {
-			// The last attempt allowed goes on for as long as its caller waits.
+		timeout := max(minFirstByteTimeout, firstByteTimeoutFactor*decision.Expected)
+		timer := time.AfterFunc(timeout, func() {
+			// The last allowed attempt continues for as long as its caller waits.
 			if call.daemon.reserve(call.request) {
-				cancel(errImpatient)
+				cancel(errFirstByteTimeout)
 			}
 		})
 		defer timer.Stop()
-		call.stream.impatience = timer
+		call.stream.firstByteTimer = timer
 	}
 	target := decision.Target
 	call.firstByte = 0
 	call.sent = time.Now()
-	outgoing := call.outgoing(decision)
-	call.slot.free()
+	request := call.outgoing(decision)
+	call.slot.release()
 	exchange, err := call.daemon.pool.Send(ctx, berylconn.Order{
-		Address: target.Address, Most: decision.Connections, Request: outgoing,
-		Wanted: func() bool { return call.wanted(target) }, Mine: call.mine,
+		Address: target.Address, Most: decision.Connections, Request: request,
+		Wanted: func() bool { return call.stillWanted(target) }, Mine: call.answersRequest,
 	})
 	if err != nil {
-		return call.failed(decision, silenced(ctx, err))
+		return call.sendFailed(decision, withTimeoutCause(ctx, err))
 	}
 	if exchange.Opened > 0 {
-		call.daemon.tell(timedWay{target.ID, exchange.Opened})
+		call.daemon.send(connectTimed{target.ID, exchange.Opened})
 	}
 	reply := call.daemon.dialect.Reply(exchange.Response.StatusCode, exchange.Response.Header)
 	if reply.NotRun {
 		call.drain(exchange)
-		call.end(decision, berylgate.Turned, nil)
+		call.endAttempt(decision, berylgate.Turned, nil)
 		return false
 	}
 	if call.route.Kind == berylspoke.Streaming && exchange.Response.StatusCode == http.StatusOK {
-		return call.passStream(decision, exchange, reply)
+		return call.forwardStream(decision, exchange, reply)
 	}
-	return call.passWhole(decision, exchange, reply)
+	return call.forwardAnswer(decision, exchange, reply)
 }
 
-// silenced names the target's silence in the error of an attempt that was ended for it:
-// the closed connection alone could be the target's doing.
-func silenced(ctx context.Context, err error) error {
-	if !errors.Is(context.Cause(ctx), errImpatient) {
+// withTimeoutCause adds the first-byte timeout to the error of an attempt that it ended.
+// The error of the closed connection alone does not show which side closed it.
+func withTimeoutCause(ctx context.Context, err error) error {
+	if !errors.Is(context.Cause(ctx), errFirstByteTimeout) {
 		return err
 	}
-	return errors.WithMessage(err, errImpatient.Error())
+	return errors.WithMessage(err, errFirstByteTimeout.Error())
 }
 
-// reserve asks the core whether a request may go on at another target.
+// reserve asks the core whether a request may be retried at another target.
 func (daemon *Daemon) reserve(request *berylgate.Request) bool {
-	may := make(chan bool, 1)
-	daemon.tell(reserve{request, may})
+	reply := make(chan bool, 1)
+	daemon.send(reserve{request, reply})
 	select {
-	case granted := <-may:
+	case granted := <-reply:
 		return granted
 	case <-daemon.ctx.Done():
 		return false
 	}
 }
 
-// wanted says whether a request is still to be sent once there is a connection for
-// it. Opening one takes over a second where packets are lost; meanwhile the caller
-// may have left, and the target may have said that it leaves: what reaches it later
-// than others knew is run by a target that is about to end.
-func (call *call) wanted(target berylspoke.Target) bool {
-	return (*call.daemon.taking.Load())[target.ID] && !callerLeft(call.in.Context())
+// stillWanted reports whether a request is still to be sent once its connection is open.
+// Opening a connection takes over a second where packets are lost. Meanwhile the caller
+// may have disconnected, and the target may have announced that it leaves: a request
+// that is sent after the other daemons have stopped sending would be run by a target
+// that is about to exit.
+func (call *call) stillWanted(target berylspoke.Target) bool {
+	return (*call.daemon.accepting.Load())[target.ID] && !callerDisconnected(call.incoming.Context())
 }
 
-// failed notes an attempt without an answer.
-func (call *call) failed(decision berylgate.Decision, err error) bool {
+// sendFailed handles an attempt that got no answer.
+func (call *call) sendFailed(decision berylgate.Decision, err error) bool {
 	var failure *berylconn.Failure
 	unsent := errors.As(err, &failure) && failure.Unsent
 	switch {
 	case errors.Is(err, berylconn.ErrUnwanted):
-		call.end(decision, berylgate.Crowded, err)
-		if callerLeft(call.in.Context()) {
-			call.left()
+		call.endAttempt(decision, berylgate.Crowded, err)
+		if callerDisconnected(call.incoming.Context()) {
+			call.disconnected()
 		}
 	case errors.Is(err, berylconn.ErrBusy):
-		call.end(decision, berylgate.Crowded, err)
+		call.endAttempt(decision, berylgate.Crowded, err)
 	case call.ctx.Err() != nil:
 		call.mayHaveRun = call.mayHaveRun || !unsent
-		call.end(decision, berylgate.Abandoned, err)
+		call.endAttempt(decision, berylgate.Abandoned, err)
 	case unsent:
-		call.end(decision, berylgate.Unreached, err)
+		call.endAttempt(decision, berylgate.Unreached, err)
 	default:
-		return call.broken(decision, err)
+		return call.answerFailed(decision, err)
 	}
 	return false
 }
 
-// broken notes an attempt that may have run and brought no whole answer.
-func (call *call) broken(decision berylgate.Decision, err error) bool {
+// answerFailed handles an attempt that the target may have run and that brought no valid
+// and complete answer. It returns false if the request may be retried.
+func (call *call) answerFailed(decision berylgate.Decision, err error) bool {
 	call.mayHaveRun = true
 	outcome := berylgate.Broken
 	if call.ctx.Err() != nil {
 		outcome = berylgate.Abandoned
 	}
-	call.end(decision, outcome, err)
+	call.endAttempt(decision, outcome, err)
 	if call.repeatable() || outcome == berylgate.Abandoned {
 		return false
 	}
-	if call.stream.begun {
-		call.breakOff()
+	if call.stream.started {
+		call.abortStream()
 	}
 	call.answer(http.StatusBadGateway, berylspoke.ReasonTarget, 0)
 	return true
 }
 
-// end tells the core and the log how an attempt ended.
-func (call *call) end(decision berylgate.Decision, outcome berylgate.Outcome, err error) {
-	call.daemon.tell(ended{call.request, outcome})
+// endAttempt reports the outcome of an attempt to the core, the metrics and the log.
+func (call *call) endAttempt(decision berylgate.Decision, outcome berylgate.Outcome, err error) {
+	call.daemon.send(attemptEnded{call.request, outcome})
 	call.daemon.meters.outcomes[outcome].Inc()
 	fields := []zap.Field{
 		zap.String("target", string(decision.Target.ID)), zap.Stringer("outcome", outcome),
@@ -169,26 +171,26 @@
 	call.log("attempt ended", fields...)
 }
 
-// outgoing builds the request for a target. Path and query are those that the
-// caller sent, byte for byte.
+// outgoing builds the request to a target. Path and query are the caller's, byte for
+// byte.
 func (call *call) outgoing(decision berylgate.Decision) *http.Request {
 	onward := berylspoke.Onward{
 		TimeLeft: time.Until(call.request.Deadline), Target: decision.Target.ID, Organisation: call.organisation,
-		Resume: call.stream.begun, LastEvent: call.stream.last,
+		Resume: call.stream.started, LastEvent: call.stream.last,
 	}
 	if decision.Source != nil {
 		onward.Source = decision.Source.Address
 	}
-	header := call.daemon.dialect.Onward(call.in.Header, onward)
+	header := call.daemon.dialect.Onward(call.incoming.Header, onward)
 	if _, stated := header["User-Agent"]; !stated {
 		header["User-Agent"] = []string{""}
 	}
-	path, query, _ := strings.Cut(call.in.RequestURI, "?")
+	path, query, _ := strings.Cut(call.incoming.RequestURI, "?")
 	request := &http.Request{
-		Method: call.in.Method, Host: call.in.Host, Header: header,
-		URL: &url.URL{Opaque: path, RawQuery: query, ForceQuery: strings.HasSuffix(call.in.RequestURI, "?")},
+		Method: call.incoming.Method, Host: call.incoming.Host, Header: header,
+		URL: &url.URL{Opaque: path, RawQuery: query, ForceQuery: strings.HasSuffix(call.incoming.RequestURI, "?")},
 	}
-	if len(call.body) > 0 || call.in.ContentLength == 0 && call.in.Method == http.MethodPost {
+	if len(call.body) > 0 || call.incoming.ContentLength == 0 && call.incoming.Method == http.MethodPost {
 		request.Body, request.ContentLength = io.NopCloser(bytes.NewReader(call.body)), int64(len(call.body))
 	}
 	if len(call.body) == 0 {
@@ -197,70 +199,70 @@
 	return request
 }
 
-// mine says whether an answer belongs to this request. A refusal may come
-// before the target has read the id.
-func (call *call) mine(response *http.Response) bool {
+// answersRequest reports whether an answer belongs to this request. A refusal without an
+// id does too, as a target may refuse before it has read the id.
+func (call *call) answersRequest(response *http.Response) bool {
 	reply := call.daemon.dialect.Reply(response.StatusCode, response.Header)
 	return reply.ID == call.ask.ID || reply.ID == "" && !reply.Sealed
 }
 
-// begin notes the first byte of an answer.
-func (call *call) begin(reply berylspoke.Reply) {
+// noteFirstByte reports the first byte of an answer to the core.
+func (call *call) noteFirstByte(reply berylspoke.Reply) {
 	call.firstByte = time.Since(call.sent)
-	call.daemon.tell(began{call.request, reply.Load})
+	call.daemon.send(answerStarted{call.request, reply.Load})
 }
 
-// drain reads the rest of a small answer so that its connection can be kept.
+// drain reads the rest of a small answer so that its connection can be reused.
 func (call *call) drain(exchange *berylconn.Exchange) {
-	const most = 64 << 10
-	read, err := io.Copy(io.Discard, io.LimitReader(exchange.Response.Body, most))
-	if err != nil || read == most {
+	const limit = 64 << 10
+	read, err := io.Copy(io.Discard, io.LimitReader(exchange.Response.Body, limit))
+	if err != nil || read == limit {
 		exchange.Discard()
 		return
 	}
 	exchange.Done()
 }
 
-// passWhole passes on an answer once all of it is here, so that one that is cut
-// never reaches the caller.
-func (call *call) passWhole(decision berylgate.Decision, exchange *berylconn.Exchange, reply berylspoke.Reply) bool {
-	call.begin(reply)
+// forwardAnswer forwards an answer once it is complete, so that a truncated one never
+// reaches the caller.
+func (call *call) forwardAnswer(decision berylgate.Decision, exchange *berylconn.Exchange, reply berylspoke.Reply) bool {
+	call.noteFirstByte(reply)
 	response := exchange.Response
-	body, err := io.ReadAll(io.LimitReader(response.Body, answerBytes))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
 	if err == nil {
-		err = faultOf(response, reply)
+		err = checkAnswer(response, reply)
 	}
 	if err != nil {
 		exchange.Discard()
-		return call.broken(decision, err)
+		return call.answerFailed(decision, err)
 	}
 	exchange.Done()
 	call.mayHaveRun = true
 	if response.StatusCode >= http.StatusInternalServerError {
-		call.end(decision, berylgate.Erred, nil)
-		if call.repeatable() && call.anew(decision) {
+		call.endAttempt(decision, berylgate.Erred, nil)
+		if call.repeatable() && call.retry(decision) {
 			return false
 		}
 	} else {
-		call.end(decision, berylgate.Succeeded, nil)
+		call.endAttempt(decision, berylgate.Succeeded, nil)
 	}
-	if call.stream.begun {
-		// The caller has the header and some events of a stream that was to go on
-		// here. This answer cannot follow them, and an end without an error would
-		// make the stream look whole.
+	if call.stream.started {
+		// The caller has the header and some events of a stream that should have been
+		// resumed here. This answer cannot follow them, and ending without an error
+		// would make the stream look complete.
 		call.log("stream broken off", zap.String("target", string(decision.Target.ID)), zap.Int("status", response.StatusCode))
-		call.breakOff()
+		call.abortStream()
 	}
-	call.daemon.meters.answered(call.route.Kind, time.Since(call.arrived))
+	call.daemon.meters.observeFirstByte(call.route.Kind, time.Since(call.arrived))
 	call.copyHeader(response)
 	call.writer.WriteHeader(response.StatusCode)
 	_, _ = call.writer.Write(body)
 	return true
 }
 
-// anew takes a request that may run again to another target where one may still be
-// tried, rather than pass on the failure of the first.
-func (call *call) anew(first berylgate.Decision) bool {
+// retry tries to place a repeatable request at another target instead of forwarding the
+// first target's failure, and reports whether it did.
+func (call *call) retry(first berylgate.Decision) bool {
 	decision := call.daemon.decide(call.request)
 	if decision.Refusal != nil {
 		return false
@@ -270,22 +272,22 @@
 	return true
 }
 
-// faultOf returns why an answer is not a target's own.
-func faultOf(response *http.Response, reply berylspoke.Reply) error {
+// checkAnswer returns an error if an answer does not prove to be the target's own.
+func checkAnswer(response *http.Response, reply berylspoke.Reply) error {
 	switch status := response.StatusCode; {
 	case !reply.Sealed:
 		return errors.Errorf("answer %d without the target's seal", status)
 	case response.Header.Get("Content-Encoding") != "":
-		return errors.New("answer in an encoding that nobody asked for")
+		return errors.New("answer has a Content-Encoding that was not requested")
 	case status == http.StatusTooManyRequests, status == http.StatusServiceUnavailable, status == http.StatusRequestTimeout:
-		// To the caller these promise that the request did not run, and this
-		// target did not say so.
-		return errors.Errorf("answer %d from a target that may have run the request", status)
+		// These statuses promise the caller that the request did not run, which the
+		// target has not stated.
+		return errors.Errorf("answer %d does not state that the request was not run", status)
 	}
 	return nil
 }
 
-// copyHeader passes on the headers of an answer.
+// copyHeader copies the headers of a target's answer to the caller's.
 func (call *call) copyHeader(response *http.Response) {
 	header := call.writer.Header()
 	closing := header["Connection"]
--- a/io/beryledge/callers.go
+++ b/io/beryledge/callers.go
@@ -1,6 +1,6 @@
 package beryledge
 
-// This file defines how a caller's request is taken in.
+// This file defines how a caller's request is received and answered.
 
 import (
 	"bytes"
@@ -20,44 +20,44 @@
 )
 
 const (
-	// bodyBytes bounds a request's body where the configuration does not.
-	bodyBytes = 4 << 20
-	// startingWait is when a caller may come back to a daemon that does not know
-	// the configuration yet.
-	startingWait = 300 * time.Millisecond
-	// waitUnstated is how long a caller is taken to wait if it does not say.
-	waitUnstated = 30 * time.Second
+	// defaultBodyBytes bounds a request's body if the configuration does not.
+	defaultBodyBytes = 4 << 20
+	// startingRetryAfter is the delay after which a caller may retry at a daemon that
+	// does not know the configuration yet.
+	startingRetryAfter = 300 * time.Millisecond
+	// defaultWait is how long a caller is assumed to wait if it does not state a time.
+	defaultWait = 30 * time.Second
 )
 
-// call is one caller's request on its way.
+// call is the processing of one caller's request.
 type call struct {
-	daemon *Daemon
-	writer http.ResponseWriter
-	in     *http.Request
-	ask    berylspoke.Ask
-	route  *berylspoke.Route
-	// organisation is whose share the request is charged to.
+	daemon   *Daemon
+	writer   http.ResponseWriter
+	incoming *http.Request
+	ask      berylspoke.Ask
+	route    *berylspoke.Route
+	// organisation is the one whose share the request is charged to.
 	organisation berylspoke.OrganisationID
 	request      *berylgate.Request
 	body         []byte
 	ctx          context.Context
 	arrived      time.Time
-	// sent and firstByte tell when the last attempt was sent and how long its
-	// answer took to begin.
+	// sent is when the last attempt was sent, firstByte the time until the first byte of
+	// its answer.
 	sent      time.Time
 	firstByte time.Duration
 	// mayHaveRun is set once a target may have executed the request.
 	mayHaveRun bool
-	// next is the decision on the next attempt if it was already taken.
+	// next is the decision on the next attempt if it has been made already.
 	next *berylgate.Decision
-	// stream is what the caller has of a stream so far.
+	// stream is what the caller has received of a stream so far.
 	stream stream
-	// slot is held from the request's admission until it is sent.
+	// slot is held from the admission of the request until it is sent.
 	slot *slot
 }
 
-// serveCaller takes one request from its first byte to its last answer.
-func (daemon *Daemon) serveCaller(writer http.ResponseWriter, in *http.Request) {
+// serveCaller handles one request of a caller.
+func (daemon *Daemon) serveCaller(writer http.ResponseWriter, incoming *http.Request) {
 	arrived := time.Now()
 	daemon.active.Add(1)
 	defer daemon.active.Add(-1)
@@ -65,39 +65,39 @@
 	if daemon.stopping.Load() {
 		writer.Header().Set("Connection", "close")
 	}
-	call := &call{daemon: daemon, writer: writer, in: in, arrived: arrived}
-	admitted := admittedAlready(in.Context())
-	if !call.admit(daemon.index.Load()) || !call.readBody() || !call.takeSlot(admitted) {
+	call := &call{daemon: daemon, writer: writer, incoming: incoming, arrived: arrived}
+	admitted := releaseAdmitted(incoming.Context())
+	if !call.prepare(daemon.index.Load()) || !call.readBody() || !call.takeSlot(admitted) {
 		return
 	}
-	defer call.slot.free()
+	defer call.slot.release()
 	if daemon.admission.mostlyRejected(call.organisation) {
-		// On this connection its next request would be parsed before it is rejected.
+		// The next request on this connection would be parsed before it is rejected.
 		writer.Header().Set("Connection", "close")
 	}
-	ctx, cancel := context.WithDeadline(in.Context(), call.request.Deadline)
+	ctx, cancel := context.WithDeadline(incoming.Context(), call.request.Deadline)
 	defer cancel()
 	call.ctx = ctx
-	if callerLeft(in.Context()) {
-		call.left()
+	if callerDisconnected(incoming.Context()) {
+		call.disconnected()
 	}
 	call.run()
 }
 
-// admit finds the route and the organisation, or refuses.
-func (call *call) admit(index *berylcatalog.Index) bool {
+// prepare finds the route and the organisation of the request, or refuses it.
+func (call *call) prepare(index *berylcatalog.Index) bool {
 	var err error
-	call.ask, err = call.daemon.dialect.Ask(call.in.Header)
+	call.ask, err = call.daemon.dialect.Ask(call.incoming.Header)
 	if index == nil {
-		call.refuse(http.StatusServiceUnavailable, berylspoke.ReasonStarting, startingWait)
+		call.refuse(http.StatusServiceUnavailable, berylspoke.ReasonStarting, startingRetryAfter)
 		return false
 	}
 	if err != nil {
 		call.refuse(http.StatusBadRequest, berylspoke.ReasonMalformed, 0)
 		return false
 	}
-	path, _, _ := strings.Cut(call.in.RequestURI, "?")
-	if call.route = index.Route(call.in.Host, path); call.route == nil {
+	path, _, _ := strings.Cut(call.incoming.RequestURI, "?")
+	if call.route = index.Route(call.incoming.Host, path); call.route == nil {
 		call.refuse(http.StatusNotFound, berylspoke.ReasonUnknown, 0)
 		return false
 	}
@@ -110,7 +110,7 @@
 		return false
 	}
 	if call.daemon.tooLate(call.arrived, call.route.Kind) {
-		call.refuse(http.StatusServiceUnavailable, berylspoke.ReasonDraining, stopWait)
+		call.refuse(http.StatusServiceUnavailable, berylspoke.ReasonDraining, stopRetryAfter)
 		return false
 	}
 	call.request = call.newRequest(index)
@@ -120,7 +120,7 @@
 func (call *call) newRequest(index *berylcatalog.Index) *berylgate.Request {
 	wait := call.ask.TimeLeft
 	if wait == 0 {
-		wait = waitUnstated
+		wait = defaultWait
 	}
 	if call.route.Timeout > 0 {
 		wait = min(wait, call.route.Timeout)
@@ -133,11 +133,11 @@
 	if hint := call.ask.OutputHint; hint > 0 && hint < output {
 		output = hint
 	}
-	most := index.Catalog().Limits.BodyBytes
-	if most <= 0 {
-		most = bodyBytes
+	bodyLimit := index.Catalog().Limits.BodyBytes
+	if bodyLimit <= 0 {
+		bodyLimit = defaultBodyBytes
 	}
-	call.in.Body = http.MaxBytesReader(call.writer, call.in.Body, most)
+	call.incoming.Body = http.MaxBytesReader(call.writer, call.incoming.Body, bodyLimit)
 	return &berylgate.Request{
 		ID: call.ask.ID, Service: berylcatalog.Service(call.route, call.ask.ID), Organisation: call.organisation,
 		Kind: call.route.Kind, Arrived: call.arrived, Objective: call.route.Objective,
@@ -147,20 +147,20 @@
 	}
 }
 
-// repeatable says whether the request may run again at another target.
+// repeatable reports whether the request may run again at another target.
 func (call *call) repeatable() bool {
 	return call.route.Kind == berylspoke.Idempotent || call.route.Kind == berylspoke.Streaming && call.route.Resumable
 }
 
-// readBody reads the body whole, so that the request can be sent on without a
-// slow caller holding a target, and sent again where that is allowed.
+// readBody reads the whole body, so that a slow caller does not occupy a target and the
+// request can be sent again where that is allowed.
 func (call *call) readBody() bool {
-	if call.in.ContentLength > 0 {
-		call.body = make([]byte, 0, call.in.ContentLength+bytes.MinRead)
+	if call.incoming.ContentLength > 0 {
+		call.body = make([]byte, 0, call.incoming.ContentLength+bytes.MinRead)
 	}
 	buffer := bytes.NewBuffer(call.body)
 	_ = http.NewResponseController(call.writer).SetReadDeadline(call.request.Deadline)
-	_, err := io.Copy(buffer, call.in.Body)
+	_, err := io.Copy(buffer, call.incoming.Body)
 	_ = http.NewResponseController(call.writer).SetReadDeadline(time.Time{})
 	call.body = buffer.Bytes()
 	if err == nil {
@@ -175,7 +175,8 @@
 	panic(http.ErrAbortHandler)
 }
 
-// run sends the request to targets until one answers or it is given up.
+// run sends the request to targets until one answers, none is left to try, or the
+// deadline passes.
 func (call *call) run() {
 	for {
 		decision := call.decide()
@@ -187,7 +188,7 @@
 			return
 		}
 		if call.ctx.Err() != nil {
-			call.timeUp()
+			call.timeOut()
 			return
 		}
 	}
@@ -202,18 +203,19 @@
 	return call.daemon.decide(call.request)
 }
 
-// decide asks the core what becomes of a request now.
+// decide asks the core for a target or a refusal. The time it takes is an observation of
+// the CPU pressure.
 func (daemon *Daemon) decide(request *berylgate.Request) berylgate.Decision {
-	asked := time.Now()
-	answer := make(chan berylgate.Decision, 1)
-	daemon.tell(submit{request, answer})
-	decision := <-answer
-	daemon.strain.observe(time.Since(asked))
+	submitted := time.Now()
+	reply := make(chan berylgate.Decision, 1)
+	daemon.send(submit{request, reply})
+	decision := <-reply
+	daemon.pressure.observe(time.Since(submitted))
 	return decision
 }
 
-// giveUp ends a request that goes nowhere. Only if no target can have run it the
-// answer says so.
+// giveUp answers a request that the gate refused. The answer states that it did not run
+// only if no target can have run it.
 func (call *call) giveUp(decision berylgate.Decision) {
 	refusal := decision.Refusal
 	fields := []zap.Field{
@@ -226,64 +228,64 @@
 		zap.Float64("asked", decision.Share.Asked), zap.Float64("given", decision.Share.Given),
 		zap.Float64("level", decision.Share.Level), zap.Float64("cap", decision.Share.Cap),
 	}
-	if call.stream.begun {
+	if call.stream.started {
 		call.log("stream broken off", fields...)
-		call.breakOff()
+		call.abortStream()
 	}
-	status, wait := http.StatusServiceUnavailable, refusal.RetryAfter
+	status, retryAfter := http.StatusServiceUnavailable, refusal.RetryAfter
 	if call.mayHaveRun {
-		status, wait = http.StatusBadGateway, 0
+		status, retryAfter = http.StatusBadGateway, 0
 	}
 	call.log("request given up", fields...)
-	call.answer(status, refusal.Reason, wait)
+	call.answer(status, refusal.Reason, retryAfter)
 }
 
-// timeUp ends a request whose caller left or whose time is over.
-func (call *call) timeUp() {
-	if call.in.Context().Err() != nil {
-		call.left()
+// timeOut ends a request whose caller disconnected or whose deadline has passed.
+func (call *call) timeOut() {
+	if call.incoming.Context().Err() != nil {
+		call.disconnected()
 	}
-	call.log("time over", zap.Bool("mayHaveRun", call.mayHaveRun), zap.Bool("begun", call.stream.begun))
-	if call.stream.begun {
-		call.breakOff()
+	call.log("time over", zap.Bool("mayHaveRun", call.mayHaveRun), zap.Bool("begun", call.stream.started))
+	if call.stream.started {
+		call.abortStream()
 	}
 	if call.mayHaveRun {
 		call.answer(http.StatusGatewayTimeout, berylspoke.ReasonWaitedTooLong, 0)
 		return
 	}
-	call.answer(http.StatusServiceUnavailable, berylspoke.ReasonWaitedTooLong, startingWait)
+	call.answer(http.StatusServiceUnavailable, berylspoke.ReasonWaitedTooLong, startingRetryAfter)
 }
 
-// breakOff ends a begun stream so that its caller sees that it is not whole.
-func (call *call) breakOff() {
-	call.daemon.meters.brokenOff.Inc()
+// abortStream aborts a started stream so that its caller sees that it is incomplete.
+func (call *call) abortStream() {
+	call.daemon.meters.streamsAborted.Inc()
 	panic(http.ErrAbortHandler)
 }
 
-// left ends a request whose caller is gone; there is nobody to answer.
-func (call *call) left() {
+// disconnected ends a request without an answer, as its caller has disconnected.
+func (call *call) disconnected() {
 	call.log("caller left", zap.Bool("mayHaveRun", call.mayHaveRun))
-	call.daemon.meters.callersLeft.Inc()
+	call.daemon.meters.callersDisconnected.Inc()
 	panic(http.ErrAbortHandler)
 }
 
-// refuse answers a request that was sent nowhere.
-func (call *call) refuse(status int, reason berylspoke.Reason, wait time.Duration) {
+// refuse refuses a request that was sent to no target.
+func (call *call) refuse(status int, reason berylspoke.Reason, retryAfter time.Duration) {
 	call.log("request refused", zap.Int("status", status), zap.String("reason", string(reason)))
-	call.answer(status, reason, wait)
+	call.answer(status, reason, retryAfter)
 }
 
-// answer sends an answer of the daemon's own.
-func (call *call) answer(status int, reason berylspoke.Reason, wait time.Duration) {
+// answer sends an error answer of the daemon itself.
+func (call *call) answer(status int, reason berylspoke.Reason, retryAfter time.Duration) {
 	header := call.writer.Header()
 	call.daemon.dialect.Name(header, call.ask.ID)
-	if wait > 0 {
-		header.Set("Retry-After", strconv.FormatFloat(wait.Seconds(), 'f', 2, 64))
+	if retryAfter > 0 {
+		header.Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', 2, 64))
 	}
-	// A caller that was served keeps its connection also while the processor is
-	// short, as a new one costs half as much as a request. One that was refused
-	// would only come back to be refused, for less on a new one.
-	if call.daemon.crowded() || call.daemon.strain.high() || reason == berylspoke.ReasonProcessor {
+	// A caller that was served keeps its connection even while the CPU pressure is high,
+	// as a new connection costs half as much as a request. A caller that was refused
+	// would retry only to be refused again, which costs less on a new connection.
+	if call.daemon.tooManyConns() || call.daemon.pressure.high() || reason == berylspoke.ReasonProcessor {
 		header.Set("Connection", "close")
 	}
 	header.Set("Content-Type", "text/plain; charset=utf-8")
@@ -292,19 +294,19 @@
 	_, _ = io.WriteString(call.writer, string(reason)+"\n")
 }
 
-// log writes a line about this request.
-func (call *call) log(what string, fields ...zap.Field) {
+// log logs a message with the fields of this request.
+func (call *call) log(message string, fields ...zap.Field) {
 	service := berylspoke.ServiceID("")
 	if call.request != nil {
 		service = call.request.Service
 	}
-	call.daemon.log.Info(what, append(fields,
+	call.daemon.log.Info(message, append(fields,
 		zap.String("request", string(call.ask.ID)), zap.String("organisation", string(call.organisation)),
 		zap.String("service", string(service)), zap.Duration("after", time.Since(call.arrived)))...)
 }
 
-// cause is the log field of an error, without the stack that a line a failure of
-// the store would otherwise bring.
+// cause returns the log field of an error without its stack trace, which would
+// otherwise be logged at each failure of the store.
 func cause(err error) zap.Field {
 	if err == nil {
 		return zap.Skip()
--- a/io/beryledge/collect.go
+++ b/io/beryledge/collect.go
@@ -1,6 +1,6 @@
 package beryledge
 
-// This file defines how a large fleet sums up the usage of organisations.
+// This file defines how a large fleet aggregates the usage of organisations.
 
 import (
 	"cmp"
@@ -12,20 +12,20 @@
 	"berylspoke/core/berylmember"
 )
 
-// collectorsEach is the number of collectors of a failure domain. All sum it up,
-// but only the first tells the sums: once it is believed dead, the next one has
-// all it needs. Until then others go by sums that grow stale.
-const collectorsEach = 2
+// collectorsPerDomain is the number of collectors of a failure domain. All of them
+// aggregate its usage, but only the first sends the sums. Once it is believed dead, the
+// next one has all it needs; until then the other daemons use sums that grow stale.
+const collectorsPerDomain = 2
 
-// collectorsOf returns the daemons that sum up a failure domain: those with the
-// most processor time, as they send a message to each daemon of it.
+// collectorsOf returns the daemons that aggregate the usage of a failure domain: those
+// with the most processor time, as they send a message to each daemon of it.
 func collectorsOf(table *berylmember.Table, domain berylspoke.FailureDomain) []berylspoke.VMID {
 	members := membersOf(table, domain)
 	slices.SortFunc(members, func(one, other berylspoke.VMID) int {
 		left, right := table.Member(one).Rumour.Place.Capacity, table.Member(other).Rumour.Place.Capacity
 		return cmp.Or(cmp.Compare(right, left), cmp.Compare(one, other))
 	})
-	return members[:min(len(members), collectorsEach)]
+	return members[:min(len(members), collectorsPerDomain)]
 }
 
 // membersOf returns the live daemons of a failure domain.
@@ -39,21 +39,22 @@
 	return members
 }
 
-// tellUsage tells what is due: each daemon its own usage to the collectors of its
-// failure domain, a collector its domain's to those of the others and the
-// fleet's to the daemons of its own. A daemon sends two messages at a time, the
-// first collector one to each daemon of its domain and two to each other domain.
-func (core *core) tellUsage(now time.Time) {
-	self, here := core.daemon.settings.VM, core.daemon.settings.FailureDomain
-	near := collectorsOf(core.table, here)
-	reports := core.gate.UsageReports(now, slices.Contains(near, self))
-	core.sendUsage(near, reports.ToCollectors)
-	if reports.ToDomains == nil || near[0] != self {
+// sendUsageReports sends the usage that is due: each daemon sends its own to the
+// collectors of its failure domain, a collector sends that of its domain to the
+// collectors of the others, and that of the fleet to the daemons of its domain. A
+// daemon sends two messages at a time, the first collector one to each daemon of its
+// domain and two to each other domain.
+func (core *core) sendUsageReports(now time.Time) {
+	self, ownDomain := core.daemon.settings.VM, core.daemon.settings.FailureDomain
+	collectors := collectorsOf(core.table, ownDomain)
+	reports := core.gate.UsageReports(now, slices.Contains(collectors, self))
+	core.sendUsage(collectors, reports.ToCollectors)
+	if reports.ToDomains == nil || collectors[0] != self {
 		return
 	}
-	core.sendUsage(membersOf(core.table, here), reports.ToMembers)
+	core.sendUsage(membersOf(core.table, ownDomain), reports.ToMembers)
 	for domain := range core.daemon.settings.RegionOf {
-		if domain != here {
+		if domain != ownDomain {
 			core.sendUsage(collectorsOf(core.table, domain), reports.ToDomains)
 		}
 	}
--- a/io/beryledge/daemon.go
+++ b/io/beryledge/daemon.go
@@ -24,25 +24,27 @@
 )
 
 const (
-	// headerBytes bounds a request's headers until a configuration is known.
-	headerBytes = 16 << 10
-	// headerTimeout bounds the arrival of a request's headers.
+	// maxHeaderBytes bounds the headers of a request.
+	maxHeaderBytes = 16 << 10
+	// headerTimeout bounds the time to read a request's headers.
 	headerTimeout = 5 * time.Second
-	// idleTimeout is how long a caller's connection may stay idle. It exceeds
-	// what callers are told they may use, so a request never crosses the close.
+	// idleTimeout is how long a caller's connection may stay idle. It exceeds the idle
+	// time announced to callers, so that no request is sent while the server closes the
+	// connection.
 	idleTimeout = 90 * time.Second
-	// callersIdle and callersEvery make callers that vanished show.
-	callersIdle  = 5 * time.Second
-	callersEvery = 2 * time.Second
-	callersLost  = 2
+	// keepAliveIdle, keepAliveInterval and keepAliveProbes configure TCP keep-alive on
+	// callers' connections, which detects callers that vanished without closing.
+	keepAliveIdle     = 5 * time.Second
+	keepAliveInterval = 2 * time.Second
+	keepAliveProbes   = 2
 )
 
-// Endpoints are the platform's own questions to a daemon.
+// Endpoints are the handlers of requests in the platform's own protocol.
 type Endpoints struct {
 	Resolve, Ready http.Handler
 }
 
-// Daemon is one running process.
+// Daemon is one running daemon.
 type Daemon struct {
 	settings    *Settings
 	dialect     berylspoke.Dialect
@@ -55,31 +57,31 @@
 	transport   *berylpeer.Transport
 	pool        *berylconn.Pool
 	idle        *idleConns
-	strain      strain
+	pressure    cpuPressure
 	admission   *admission
 	index       atomic.Pointer[berylcatalog.Index]
 	entries     atomic.Pointer[entries]
-	// taking are the targets that take new requests.
-	taking      atomic.Pointer[map[berylspoke.TargetID]bool]
+	// accepting are the targets that accept new requests.
+	accepting   atomic.Pointer[map[berylspoke.TargetID]bool]
 	ready       atomic.Bool
 	stopping    atomic.Bool
-	stopBegan   atomic.Int64
+	stopStarted atomic.Int64
 	active      atomic.Int64
 	lastRequest atomic.Int64
 	revisions   [berylfeed.Count]atomic.Uint64
 	known       [berylfeed.Count]atomic.Bool
-	// watcher says that this daemon reads the store for all; fed is when any daemon
-	// that was heard of was in contact with it last, in Unix nanoseconds.
-	watcher atomic.Bool
-	fed     atomic.Int64
-	meters  *meters
-	servers []*http.Server
-	callers *http.Server
-	ctx     context.Context
-	stop    context.CancelFunc
+	// watcher is set if this daemon reads the store for the fleet. lastContact is when
+	// the store last answered any daemon known here, in Unix nanoseconds.
+	watcher      atomic.Bool
+	lastContact  atomic.Int64
+	meters       *meters
+	servers      []*http.Server
+	callerServer *http.Server
+	ctx          context.Context
+	cancel       context.CancelFunc
 }
 
-// Start runs a daemon until Stop.
+// Start starts a daemon, which runs until Stop or Kill.
 func Start(settings *Settings, dialect berylspoke.Dialect, store berylspoke.Store, endpoints func(*Daemon) Endpoints, log *zap.Logger) (*Daemon, error) {
 	now := time.Now()
 	daemon := &Daemon{
@@ -90,8 +92,8 @@
 	}
 	daemon.meters = newMeters(daemon)
 	daemon.entries.Store(new(entries))
-	daemon.taking.Store(new(map[berylspoke.TargetID]bool))
-	daemon.ctx, daemon.stop = context.WithCancel(context.Background())
+	daemon.accepting.Store(new(map[berylspoke.TargetID]bool))
+	daemon.ctx, daemon.cancel = context.WithCancel(context.Background())
 	var err error
 	if daemon.admission, err = newAdmission(daemon.ctx); err != nil {
 		return nil, err
@@ -101,10 +103,10 @@
 		daemon.Kill()
 		return nil, err
 	}
-	go daemon.keepTime()
+	go daemon.runTimers()
 	configuration, targets := dialect.Prefixes()
-	go daemon.follow(berylfeed.Configuration, configuration)
-	go daemon.follow(berylfeed.Targets, targets)
+	go daemon.followStore(berylfeed.Configuration, configuration)
+	go daemon.followStore(berylfeed.Targets, targets)
 	daemon.log.Info("daemon started", zap.Uint64("incarnation", uint64(daemon.incarnation)),
 		zap.String("callers", settings.Callers), zap.String("peers", string(settings.VM)))
 	return daemon, nil
@@ -118,19 +120,19 @@
 	daemon.core = daemon.system.Root.Spawn(actor.PropsFromProducer(func() actor.Actor { return core }))
 }
 
-// open opens the sockets, the peers' first: what arrives early waits in the
-// actor's mailbox.
+// open opens the sockets, that of the peers first: messages that arrive early wait in
+// the actor's mailbox.
 func (daemon *Daemon) open(endpoints Endpoints) error {
 	transport, err := berylpeer.Listen(berylpeer.Options{
 		VM: daemon.settings.VM, Address: string(daemon.settings.VM), Keys: [][]byte{[]byte(daemon.settings.FleetKey)},
 		Locator: daemon, Log: daemon.log,
-		Handler: func(from berylspoke.VMID, messages []berylspoke.Message) { daemon.tell(fromPeer{from, messages}) },
+		Handler: func(from berylspoke.VMID, messages []berylspoke.Message) { daemon.send(peerMessages{from, messages}) },
 	})
 	if err != nil {
 		return err
 	}
 	daemon.transport = transport
-	daemon.callers, err = daemon.serve(daemon.settings.Callers, http.HandlerFunc(daemon.serveCaller), true)
+	daemon.callerServer, err = daemon.serve(daemon.settings.Callers, http.HandlerFunc(daemon.serveCaller), true)
 	if err != nil {
 		return err
 	}
@@ -150,19 +152,19 @@
 	return nil
 }
 
-// serve answers on an address; at that of callers the admission queue decides
-// while the processor is overloaded.
+// serve starts an HTTP server on an address. On the callers' address, connections pass
+// through the admission queue while the processor is overloaded.
 func (daemon *Daemon) serve(address string, handler http.Handler, callers bool) (*http.Server, error) {
-	listening := net.ListenConfig{KeepAlive: -1, Control: keepAlive}
+	listening := net.ListenConfig{KeepAlive: -1, Control: setKeepAlive}
 	listener, err := listening.Listen(daemon.ctx, "tcp", address)
 	if err != nil {
-		return nil, errors.Wrapf(err, "address %s cannot be opened", address)
+		return nil, errors.Wrapf(err, "cannot listen on address %s", address)
 	}
 	if callers {
 		listener = newAdmissionListener(listener.(*net.TCPListener), daemon)
 	}
 	server := &http.Server{
-		Handler: handler, MaxHeaderBytes: headerBytes,
+		Handler: handler, MaxHeaderBytes: maxHeaderBytes,
 		ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout,
 		ErrorLog: zap.NewStdLog(zap.NewNop()), ConnState: daemon.idle.observe, ConnContext: withConn,
 	}
@@ -171,15 +173,16 @@
 	return server, nil
 }
 
-// keepAlive sets the keep-alive on a listening socket, from which accepted ones
-// inherit it. Set on each accepted one it costs four system calls, a quarter of
-// what a refused caller costs in all, and a flood of them starves a small VM.
-func keepAlive(_, _ string, raw syscall.RawConn) error {
+// setKeepAlive enables TCP keep-alive on a listening socket; accepted connections
+// inherit the options. Setting them on each connection takes four system calls, a
+// quarter of the whole cost of a refused request, which starves a small VM when it is
+// flooded.
+func setKeepAlive(_, _ string, raw syscall.RawConn) error {
 	options := []struct{ level, name, value int }{
 		{unix.SOL_SOCKET, unix.SO_KEEPALIVE, 1},
-		{unix.IPPROTO_TCP, unix.TCP_KEEPIDLE, int(callersIdle.Seconds())},
-		{unix.IPPROTO_TCP, unix.TCP_KEEPINTVL, int(callersEvery.Seconds())},
-		{unix.IPPROTO_TCP, unix.TCP_KEEPCNT, callersLost},
+		{unix.IPPROTO_TCP, unix.TCP_KEEPIDLE, int(keepAliveIdle.Seconds())},
+		{unix.IPPROTO_TCP, unix.TCP_KEEPINTVL, int(keepAliveInterval.Seconds())},
+		{unix.IPPROTO_TCP, unix.TCP_KEEPCNT, keepAliveProbes},
 	}
 	var failed error
 	err := raw.Control(func(fd uintptr) {
@@ -192,10 +195,10 @@
 	if err != nil {
 		return err
 	}
-	return errors.Wrap(failed, "keep-alive cannot be set")
+	return errors.Wrap(failed, "cannot enable TCP keep-alive")
 }
 
-// PeerAddress implements berylpeer.Locator; VMs are named by their address.
+// PeerAddress implements berylpeer.Locator; the id of a VM is its address.
 func (daemon *Daemon) PeerAddress(vm berylspoke.VMID) string { return string(vm) }
 
 // Link implements berylpeer.Locator.
@@ -211,12 +214,12 @@
 	}
 }
 
-// Ready says whether the daemon takes callers' requests.
+// Ready reports whether the daemon accepts callers' requests.
 func (daemon *Daemon) Ready() bool { return daemon.ready.Load() && !daemon.stopping.Load() }
 
-// Kill ends the daemon at once, as a crash would.
+// Kill stops the daemon at once, without finishing requests, as a crash would.
 func (daemon *Daemon) Kill() {
-	daemon.stop()
+	daemon.cancel()
 	for _, server := range daemon.servers {
 		_ = server.Close()
 	}
--- a/io/beryledge/daemon_test.go
+++ b/io/beryledge/daemon_test.go
@@ -19,8 +19,8 @@
 	"berylspoke/io/berylconn"
 )
 
-// A request passes to a target unchanged but for what only the fleet may say,
-// and the target's answer comes back unchanged.
+// A request reaches the target unchanged except for the headers that only the fleet may
+// set, and the target's answer reaches the caller unchanged.
 func TestRequestPassesUnchanged(t *testing.T) {
 	var got *http.Request
 	var body string
@@ -30,7 +30,7 @@
 		sealed(http.StatusCreated, "done")(writer, request)
 	})
 	daemon, _ := startServing(t, map[string]*testTarget{"desk": target})
-	response, text, err := ask(t, daemon, http.MethodPost, "/file/a%2Fb/?q=1&q=%20", "id-1", "a letter")
+	response, text, err := send(t, daemon, http.MethodPost, "/file/a%2Fb/?q=1&q=%20", "id-1", "a letter")
 	require.NoError(t, err)
 	require.Equal(t, http.StatusCreated, response.StatusCode)
 	require.Equal(t, "done", text)
@@ -43,11 +43,12 @@
 	require.Empty(t, got.Header.Get("User-Agent"), "nothing is added")
 }
 
-// Answers that are no target's own: cut, not sealed, of another request, in an
-// encoding, or no HTTP at all. None may reach a caller as a success, and a
-// filing that may have run is neither repeated nor refused as not run.
-func TestSpoiltAnswersNeverPass(t *testing.T) {
-	spoilt := map[string]http.HandlerFunc{
+// Guards against answers that do not prove to be the target's own and complete: truncated,
+// without seal, of another request, with an encoding, or not HTTP. None may reach a
+// caller as a success, and a non-idempotent request that may have run is neither retried
+// nor answered as not run.
+func TestInvalidAnswersAreNotForwarded(t *testing.T) {
+	invalid := map[string]http.HandlerFunc{
 		"cut": raw(func(id string) string {
 			return "HTTP/1.1 200 OK\r\nX-Id: " + id + "\r\nX-Seal: s\r\nContent-Length: 10\r\n\r\nhal"
 		}),
@@ -66,12 +67,12 @@
 			return "HTTP/1.1 503 Busy\r\nX-Id: " + id + "\r\nX-Seal: s\r\nContent-Length: 0\r\n\r\n"
 		}),
 	}
-	for name, serve := range spoilt {
+	for name, serve := range invalid {
 		t.Run(name, func(t *testing.T) {
 			target := newTestTarget(t, "d1", serve)
 			other := newTestTarget(t, "d2", serve)
 			daemon, _ := startServing(t, map[string]*testTarget{"desk#1": target, "desk#2": other})
-			response, _, err := ask(t, daemon, http.MethodPost, "/file/x", "id-1", "a letter")
+			response, _, err := send(t, daemon, http.MethodPost, "/file/x", "id-1", "a letter")
 			require.NoError(t, err)
 			require.Equal(t, http.StatusBadGateway, response.StatusCode)
 			require.Empty(t, response.Header.Get("X-Seal"))
@@ -80,55 +81,56 @@
 	}
 }
 
-// The answer of an earlier request comes late, where the next one is due. The
-// caller must get its own answer, which follows.
+// Guards against a caller that gets the answer to another request: a late answer arrives
+// on the connection before the caller's own.
 func TestForeignAnswerIsSkipped(t *testing.T) {
 	target := newTestTarget(t, "d1", raw(func(id string) string {
 		return "HTTP/1.1 200 OK\r\nX-Id: other\r\nX-Seal: s\r\nContent-Length: 5\r\n\r\nother" +
 			"HTTP/1.1 200 OK\r\nX-Id: " + id + "\r\nX-Seal: s\r\nContent-Length: 4\r\n\r\nmine"
 	}))
 	daemon, _ := startServing(t, map[string]*testTarget{"desk": target})
-	response, text, err := ask(t, daemon, http.MethodPost, "/file/x", "id-1", "a letter")
+	response, text, err := send(t, daemon, http.MethodPost, "/file/x", "id-1", "a letter")
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, response.StatusCode)
 	require.Equal(t, "mine", text)
 }
 
-// A target breaks off. A lookup goes on at another one; the caller sees nothing
-// of it.
-func TestLookupGoesOnElsewhere(t *testing.T) {
+// Guards against a failure of one target that the caller sees although the request is
+// idempotent: the target closes the connection without an answer, and the request is
+// retried at another one.
+func TestIdempotentRequestIsRetriedAtAnotherTarget(t *testing.T) {
 	broken := newTestTarget(t, "d1", raw(func(string) string { return "" }))
-	sound := newTestTarget(t, "d2", sealed(http.StatusOK, "found"))
-	daemon, _ := startServing(t, map[string]*testTarget{"desk#1": broken, "desk#2": sound})
+	working := newTestTarget(t, "d2", sealed(http.StatusOK, "found"))
+	daemon, _ := startServing(t, map[string]*testTarget{"desk#1": broken, "desk#2": working})
 	for i := range 6 {
-		response, text, err := ask(t, daemon, http.MethodGet, "/read/x", fmt.Sprint("id-", i), "")
+		response, text, err := send(t, daemon, http.MethodGet, "/read/x", fmt.Sprint("id-", i), "")
 		require.NoError(t, err)
 		require.Equal(t, http.StatusOK, response.StatusCode)
 		require.Equal(t, "found", text)
 	}
-	require.Positive(t, broken.seen.Load(), "the test never met the broken target")
+	require.Positive(t, broken.seen.Load(), "no request reached the broken target")
 }
 
-// An engine answers that it failed, as a share of them does when it is unhealthy
-// and its health check is good. A draft that may be resumed goes on at another
-// engine; the caller sees nothing of it.
-func TestResumableDraftSurvivesAFailedEngine(t *testing.T) {
+// Guards against a resumable stream that fails because its engine answers with an error,
+// as an unhealthy engine with a passing health check does for some requests. The request
+// is retried at another engine, and the caller does not notice.
+func TestResumableStreamIsRetriedAfterEngineError(t *testing.T) {
 	failing := newTestTarget(t, "e1", sealed(http.StatusInternalServerError, "failed"))
-	sound := newTestTarget(t, "e2", events(9))
-	daemon, _ := startServing(t, map[string]*testTarget{"engines#1": failing, "engines#2": sound})
+	working := newTestTarget(t, "e2", events(9))
+	daemon, _ := startServing(t, map[string]*testTarget{"engines#1": failing, "engines#2": working})
 	for i := range 6 {
-		response, _, err := ask(t, daemon, http.MethodPost, "/resume/x", fmt.Sprint("id-", i), "prompt")
+		response, _, err := send(t, daemon, http.MethodPost, "/resume/x", fmt.Sprint("id-", i), "prompt")
 		require.NoError(t, err)
 		require.Equal(t, http.StatusOK, response.StatusCode)
 	}
-	require.Positive(t, failing.seen.Load(), "the test never met the failing engine")
+	require.Positive(t, failing.seen.Load(), "no request reached the failing engine")
 }
 
-// A draft stops midway as its engine crashes, and the engine at which it goes on
-// answers that it failed. The caller has a header and some events by then. The
-// failure's text must not be joined to them, nor the stream end as if it were whole:
-// the caller must see that it broke off.
-func TestStreamThatFailsAsItGoesOnIsBrokenOff(t *testing.T) {
+// Guards against a stream that looks complete although its resumption failed: its engine
+// crashes midway, and the next engine answers with an error. The caller has the header
+// and some events by then. The text of the error must not follow them, and the stream
+// must not end without an error.
+func TestStreamIsAbortedIfItsResumptionFails(t *testing.T) {
 	crashing := newTestTarget(t, "e1", events(3))
 	failing := newTestTarget(t, "e2", func(writer http.ResponseWriter, request *http.Request) {
 		if request.Header.Get("X-Last") == "" {
@@ -138,36 +140,36 @@
 		sealed(http.StatusInternalServerError, "failed")(writer, request)
 	})
 	daemon, _ := startServing(t, map[string]*testTarget{"engines#1": crashing, "engines#2": failing})
-	met := false
+	bothReached := false
 	for i := range 6 {
-		_, text, err := ask(t, daemon, http.MethodPost, "/resume/x", fmt.Sprint("id-", i), "prompt")
-		require.Error(t, err, "the stream seems whole")
+		_, text, err := send(t, daemon, http.MethodPost, "/resume/x", fmt.Sprint("id-", i), "prompt")
+		require.Error(t, err, "the stream looks complete")
 		require.NotContains(t, text, "failed")
-		met = met || failing.seen.Load() > 0 && crashing.seen.Load() > 0
+		bothReached = bothReached || failing.seen.Load() > 0 && crashing.seen.Load() > 0
 	}
-	require.True(t, met, "the test never met both engines")
+	require.True(t, bothReached, "no stream reached both engines")
 }
 
-// All targets are full and say that they did not run the filing. So it is
-// refused truthfully, and the caller is told when to come back.
-func TestTurnedFilingIsRefusedTruthfully(t *testing.T) {
+// If all targets are full and state that they did not run a non-idempotent request, the
+// caller is told so, and when to retry.
+func TestRequestRejectedByAllTargetsIsAnsweredAsNotRun(t *testing.T) {
 	full := func(writer http.ResponseWriter, _ *http.Request) {
 		writer.Header().Set("X-Not-Run", "1")
 		writer.WriteHeader(http.StatusServiceUnavailable)
 	}
 	one, two := newTestTarget(t, "d1", full), newTestTarget(t, "d2", full)
 	daemon, _ := startServing(t, map[string]*testTarget{"desk#1": one, "desk#2": two})
-	response, _, err := ask(t, daemon, http.MethodPost, "/file/x", "id-1", "a letter")
+	response, _, err := send(t, daemon, http.MethodPost, "/file/x", "id-1", "a letter")
 	require.NoError(t, err)
 	require.Equal(t, http.StatusServiceUnavailable, response.StatusCode)
 	require.NotEmpty(t, response.Header.Get("Retry-After"))
 	require.EqualValues(t, 2, one.seen.Load()+two.seen.Load())
 }
 
-// events answers with a stream that breaks off within an event after some, and
-// goes on after the last event that the caller has.
+// events answers with a stream that starts after the last event that the caller has, and
+// breaks in the middle of the event after event breakAfter.
 func events(breakAfter int) http.HandlerFunc {
-	const all = 6
+	const lastEvent = 6
 	return func(writer http.ResponseWriter, request *http.Request) {
 		_, _ = io.Copy(io.Discard, request.Body)
 		first := 1
@@ -177,7 +179,7 @@
 		}
 		writer.Header().Set("X-Id", request.Header.Get("X-Id"))
 		writer.Header().Set("X-Seal", "s")
-		for id := first; id <= all; id++ {
+		for id := first; id <= lastEvent; id++ {
 			if id > breakAfter {
 				_, _ = io.WriteString(writer, "id: 9\ndata: ha")
 				_ = http.NewResponseController(writer).Flush()
@@ -189,31 +191,32 @@
 	}
 }
 
-// Guards against a stream that is broken off for silence although no other engine may
-// follow: its first engine dies, and the second, the last allowed, begins late.
-func TestLastAttemptIsNotEndedForSilence(t *testing.T) {
+// Guards against a stream that is aborted by the first-byte timeout although no further
+// attempt is allowed: its first engine crashes, and the second, the last allowed, sends
+// its first byte late.
+func TestLastAttemptHasNoFirstByteTimeout(t *testing.T) {
 	late := func(writer http.ResponseWriter, request *http.Request) {
 		if request.Header.Get("X-Last") == "" {
 			events(3)(writer, request)
 			return
 		}
 		select {
-		case <-time.After(patienceLeast + 600*time.Millisecond):
+		case <-time.After(minFirstByteTimeout + 600*time.Millisecond):
 			events(9)(writer, request)
 		case <-request.Context().Done():
 		}
 	}
 	targets := map[string]*testTarget{"engines#1": newTestTarget(t, "e1", late), "engines#2": newTestTarget(t, "e2", late)}
 	daemon, _ := startServing(t, targets)
-	response, text, err := ask(t, daemon, http.MethodPost, "/resume/x", "id-1", "prompt")
+	response, text, err := send(t, daemon, http.MethodPost, "/resume/x", "id-1", "prompt")
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, response.StatusCode)
-	require.Contains(t, text, "text 6", "the whole stream")
+	require.Contains(t, text, "text 6", "the stream is incomplete")
 }
 
-// An engine dies in the middle of an event. A resumable stream goes on at
-// another engine within the same answer, and the caller has every event once.
-func TestStreamGoesOnElsewhere(t *testing.T) {
+// Guards against lost or repeated events in a resumable stream: its engine crashes in the
+// middle of an event, and the stream is resumed at another engine within the same answer.
+func TestStreamIsResumedAtAnotherEngine(t *testing.T) {
 	var attempts atomic.Int64
 	serve := func(writer http.ResponseWriter, request *http.Request) {
 		if attempts.Add(1) == 1 {
@@ -224,7 +227,7 @@
 	}
 	one, two := newTestTarget(t, "e1", serve), newTestTarget(t, "e2", serve)
 	daemon, _ := startServing(t, map[string]*testTarget{"engines#1": one, "engines#2": two})
-	response, text, err := ask(t, daemon, http.MethodPost, "/resume/x", "id-1", "prompt")
+	response, text, err := send(t, daemon, http.MethodPost, "/resume/x", "id-1", "prompt")
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, response.StatusCode)
 	var want strings.Builder
@@ -236,26 +239,26 @@
 	require.EqualValues(t, 1, two.seen.Load())
 }
 
-// The same, but the route does not allow to resume. The caller must see that
-// its answer is not whole.
-func TestBrokenStreamLooksBroken(t *testing.T) {
+// Guards against a truncated stream that looks complete: its engine crashes in the middle
+// of an event, and the route does not allow resuming it.
+func TestTruncatedStreamEndsWithError(t *testing.T) {
 	target := newTestTarget(t, "e1", events(3))
 	daemon, _ := startServing(t, map[string]*testTarget{"engines": target})
-	_, text, err := ask(t, daemon, http.MethodPost, "/draft/x", "id-1", "prompt")
+	_, text, err := send(t, daemon, http.MethodPost, "/draft/x", "id-1", "prompt")
 	require.Error(t, err)
-	require.NotContains(t, text, "ha", "half an event was passed on")
+	require.NotContains(t, text, "ha", "a partial event was forwarded")
 	require.EqualValues(t, 1, target.seen.Load())
 }
 
-// A caller leaves while its answer is made. The engine must not work on for
-// nobody.
-func TestCallerLeavesAndTheTargetIsFreed(t *testing.T) {
-	left := make(chan struct{})
+// Guards against an engine that continues to work on a request whose caller has
+// disconnected.
+func TestDisconnectedCallerCancelsRequestAtTarget(t *testing.T) {
+	cancelled := make(chan struct{})
 	target := newTestTarget(t, "e1", func(writer http.ResponseWriter, request *http.Request) {
 		_, _ = io.Copy(io.Discard, request.Body)
 		select {
 		case <-request.Context().Done():
-			close(left)
+			close(cancelled)
 		case <-time.After(10 * time.Second):
 		}
 	})
@@ -274,26 +277,26 @@
 	_, err = http.DefaultClient.Do(request)
 	require.Error(t, err)
 	select {
-	case <-left:
+	case <-cancelled:
 	case <-time.After(8 * time.Second):
-		t.Fatal("the target still works")
+		t.Fatal("the target still works on the request")
 	}
 }
 
-// A daemon that knows no configuration cannot tell a wrong key or path from one
-// that is about to be declared, so it says neither 401 nor 404.
-func TestStartingDaemonRefusesNothingForGood(t *testing.T) {
+// A daemon that knows no configuration cannot tell a wrong key or path from one that is
+// declared but not known here yet, so it answers neither 401 nor 404.
+func TestDaemonWithoutConfigurationAnswersUnavailable(t *testing.T) {
 	store := newTestStore()
 	store.down.Store(true)
 	daemon := startDaemon(t, store)
-	response, _, err := ask(t, daemon, http.MethodPost, "/file/x", "id-1", "a letter")
+	response, _, err := send(t, daemon, http.MethodPost, "/file/x", "id-1", "a letter")
 	require.NoError(t, err)
 	require.Equal(t, http.StatusServiceUnavailable, response.StatusCode)
 	require.False(t, daemon.Ready())
 }
 
-// The store turns one daemon away. It learns everything from its peer: the
-// configuration, the targets, and their changes.
+// A daemon whose calls the store rejects gets the configuration, the targets and their
+// changes from its peer.
 func TestDaemonWithoutStoreLearnsFromItsPeer(t *testing.T) {
 	target := newTestTarget(t, "d1", sealed(http.StatusOK, "found"))
 	first, store := startServing(t, map[string]*testTarget{"desk": target})
@@ -301,7 +304,7 @@
 	refused.down.Store(true)
 	second := startDaemon(t, refused, first.settings.VM)
 	require.Eventually(t, second.Ready, 10*time.Second, 10*time.Millisecond)
-	response, text, err := ask(t, second, http.MethodGet, "/read/x", "id-1", "")
+	response, text, err := send(t, second, http.MethodGet, "/read/x", "id-1", "")
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, response.StatusCode)
 	require.Equal(t, "found", text)
@@ -311,10 +314,9 @@
 	}, 10*time.Second, 10*time.Millisecond)
 }
 
-// A stop is planned. Requests that are here end whole, the daemon is announced
-// as leaving at once, and a stream that comes late is told truthfully that it
-// did not run.
-func TestStopCutsNothing(t *testing.T) {
+// During a planned stop the daemon announces at once that it is leaving, active requests
+// are completed, and streams that arrive late are no longer accepted.
+func TestStopCompletesActiveRequests(t *testing.T) {
 	release := make(chan struct{})
 	target := newTestTarget(t, "d1", func(writer http.ResponseWriter, request *http.Request) {
 		<-release
@@ -323,7 +325,7 @@
 	daemon, _ := startServing(t, map[string]*testTarget{"desk": target})
 	answered := make(chan string, 1)
 	go func() {
-		_, text, err := ask(t, daemon, http.MethodPost, "/file/x", "id-1", "a letter")
+		_, text, err := send(t, daemon, http.MethodPost, "/file/x", "id-1", "a letter")
 		answered <- fmt.Sprint(text, err)
 	}()
 	require.Eventually(t, func() bool { return target.seen.Load() == 1 }, 10*time.Second, time.Millisecond)
@@ -333,24 +335,24 @@
 		close(stopped)
 	}()
 	require.Eventually(t, func() bool { return !daemon.Ready() }, 10*time.Second, time.Millisecond)
-	require.False(t, daemon.tooLate(time.Unix(0, daemon.stopBegan.Load()).Add(time.Second), berylspoke.Streaming))
-	require.True(t, daemon.tooLate(time.Unix(0, daemon.stopBegan.Load()).Add(3*time.Second), berylspoke.Streaming))
+	require.False(t, daemon.tooLate(time.Unix(0, daemon.stopStarted.Load()).Add(time.Second), berylspoke.Streaming))
+	require.True(t, daemon.tooLate(time.Unix(0, daemon.stopStarted.Load()).Add(3*time.Second), berylspoke.Streaming))
 	close(release)
 	require.Equal(t, "done<nil>", <-answered)
 	<-stopped
 }
 
-// A caller's request is decided for an engine, and opening a connection to it takes
-// a second, as packets are lost. Meanwhile the engine leaves and this daemon hears of
-// it. The request reached the leaving engine, later than any other daemon would have
-// sent one. It goes to another engine instead, as nothing was sent.
-func TestRequestOnItsWayDoesNotReachATargetThatLeft(t *testing.T) {
+// Guards against a request that is sent to a target that has left: opening a connection
+// to it takes a second, as packets are lost, and meanwhile this daemon learns that the
+// target leaves. The request reached it later than any other daemon would have sent one.
+// It must be tried at another target instead, as nothing was sent.
+func TestRequestIsNotSentToTargetThatLeftWhileConnecting(t *testing.T) {
 	leaving := newTestTarget(t, "d1", sealed(http.StatusOK, "left"))
 	daemon, store := startServing(t, map[string]*testTarget{"desk#1": leaving})
 	call := &call{
 		daemon: daemon, writer: httptest.NewRecorder(), ctx: context.Background(), arrived: time.Now(),
-		in:    httptest.NewRequest(http.MethodPost, "/file/x", nil),
-		route: &berylspoke.Route{Kind: berylspoke.NonIdempotent},
+		incoming: httptest.NewRequest(http.MethodPost, "/file/x", nil),
+		route:    &berylspoke.Route{Kind: berylspoke.NonIdempotent},
 		request: &berylgate.Request{
 			Service: "desk", Arrived: time.Now(), Objective: time.Minute, Deadline: time.Now().Add(time.Minute), Attempts: 1,
 		},
@@ -358,32 +360,33 @@
 	decision := call.decide()
 	require.Nil(t, decision.Refusal)
 	store.put("t/d1", "")
-	require.Eventually(t, func() bool { return len(*daemon.taking.Load()) == 0 }, 10*time.Second, 10*time.Millisecond)
-	require.False(t, call.attempt(decision), "the request may go on elsewhere")
+	require.Eventually(t, func() bool { return len(*daemon.accepting.Load()) == 0 }, 10*time.Second, 10*time.Millisecond)
+	require.False(t, call.attempt(decision), "the request may not be retried")
 	require.False(t, call.mayHaveRun)
 	require.Zero(t, leaving.seen.Load())
 }
 
-// Guards against a log that blames the target for a connection which this daemon closed.
-func TestSilenceIsNamedAsTheCause(t *testing.T) {
+// Guards against a logged error that blames the target for a connection that this daemon
+// closed after the first-byte timeout.
+func TestFirstByteTimeoutIsNamedAsCause(t *testing.T) {
 	ctx, cancel := context.WithCancelCause(context.Background())
 	failure := &berylconn.Failure{Unsent: true, Cause: net.ErrClosed}
-	require.Equal(t, error(failure), silenced(ctx, failure))
-	cancel(errImpatient)
-	named := silenced(ctx, failure)
-	require.ErrorContains(t, named, errImpatient.Error())
+	require.Equal(t, error(failure), withTimeoutCause(ctx, failure))
+	cancel(errFirstByteTimeout)
+	named := withTimeoutCause(ctx, failure)
+	require.ErrorContains(t, named, errFirstByteTimeout.Error())
 	var kept *berylconn.Failure
-	require.ErrorAs(t, named, &kept, "whether it was sent still counts")
+	require.ErrorAs(t, named, &kept, "the error no longer tells whether the request was sent")
 	require.True(t, kept.Unsent)
 }
 
-// Guards against requests to targets of a failure domain that operators empty, and
-// against targets that stay unused once it is taken back.
-func TestEmptiedFailureDomainGetsNothing(t *testing.T) {
+// Guards against requests to targets of a failure domain that operators evacuate, and
+// against targets that stay unused once the evacuation is withdrawn.
+func TestEvacuatedFailureDomainGetsNoRequests(t *testing.T) {
 	target := newTestTarget(t, "d1", sealed(http.StatusOK, "done"))
 	daemon, store := startServing(t, map[string]*testTarget{"desk": target})
 	status := func() int {
-		response, _, err := ask(t, daemon, http.MethodGet, "/read/x", "id", "")
+		response, _, err := send(t, daemon, http.MethodGet, "/read/x", "id", "")
 		require.NoError(t, err)
 		return response.StatusCode
 	}
--- a/io/beryledge/entries.go
+++ b/io/beryledge/entries.go
@@ -1,6 +1,6 @@
 package beryledge
 
-// This file defines which addresses callers are told to use.
+// This file defines which addresses resolve answers give to callers.
 
 import (
 	"maps"
@@ -10,21 +10,22 @@
 	"berylspoke/core/berylmember"
 )
 
-// entries are the daemons that take callers' requests, by where they stand.
+// entries are the addresses of the daemons that accept callers' requests by failure
+// domain, and the failure domains of all live daemons.
 type entries struct {
 	byDomain map[berylspoke.FailureDomain][]string
 	domains  map[berylspoke.VMID]berylspoke.FailureDomain
 }
 
-// maxEntries bounds the addresses in one answer.
-const maxEntries = 64
+// maxAddresses bounds the addresses in one answer.
+const maxAddresses = 64
 
 func newEntries(table *berylmember.Table) *entries {
 	entries := &entries{
 		byDomain: make(map[berylspoke.FailureDomain][]string),
 		domains:  make(map[berylspoke.VMID]berylspoke.FailureDomain),
 	}
-	least := leastCapacity(table)
+	smallest := minCapacity(table)
 	for _, vm := range table.Live() {
 		member := table.Member(vm)
 		domain := member.VM.FailureDomain
@@ -32,63 +33,63 @@
 		if member.VM.CallAddress == "" {
 			continue
 		}
-		for range weight(member.Rumour.Place.Capacity, least) {
+		for range addressWeight(member.Rumour.Place.Capacity, smallest) {
 			entries.byDomain[domain] = append(entries.byDomain[domain], member.VM.CallAddress)
 		}
 	}
 	return entries
 }
 
-// maxWeight bounds how often one address is told.
+// maxWeight bounds how often one address is listed.
 const maxWeight = 5
 
-// weight returns how often an address is told: callers pick one at random, and
-// a VM with four times the processor time of another is to be picked four times
-// as often.
-func weight(capacity, least uint16) int {
-	if least == 0 || capacity == 0 {
+// addressWeight returns how often an address is listed: callers pick one at random, and
+// a VM with four times the processor time of another is to be picked four times as
+// often.
+func addressWeight(capacity, smallest uint16) int {
+	if smallest == 0 || capacity == 0 {
 		return 1
 	}
-	return min(max(int(float64(capacity)/float64(least)+0.5), 1), maxWeight)
+	return min(max(int(float64(capacity)/float64(smallest)+0.5), 1), maxWeight)
 }
 
-// leastCapacity returns the processor time of the smallest VM.
-func leastCapacity(table *berylmember.Table) uint16 {
-	var least uint16
+// minCapacity returns the processor time of the smallest VM.
+func minCapacity(table *berylmember.Table) uint16 {
+	var smallest uint16
 	for _, vm := range table.Live() {
-		if capacity := table.Member(vm).Rumour.Place.Capacity; capacity > 0 && (least == 0 || capacity < least) {
-			least = capacity
+		if capacity := table.Member(vm).Rumour.Place.Capacity; capacity > 0 && (smallest == 0 || capacity < smallest) {
+			smallest = capacity
 		}
 	}
-	return least
+	return smallest
 }
 
-// Entries returns the addresses for a caller that stands in a failure domain:
-// those of the same domain, else of its region, else all. Traffic between
-// domains is paid, and callers drop an address that fails them by themselves.
+// Entries returns the addresses for a caller in a failure domain: those of the same
+// domain, else of its region, else all. Traffic between domains is paid for, and callers
+// stop using an address that fails.
 func (daemon *Daemon) Entries(domain berylspoke.FailureDomain) []string {
 	entries := daemon.entries.Load()
-	if same := entries.byDomain[domain]; len(same) > 0 {
-		return clip(same)
+	if sameDomain := entries.byDomain[domain]; len(sameDomain) > 0 {
+		return limit(sameDomain)
 	}
 	region := daemon.settings.RegionOf[domain]
-	var near, all []string
+	var sameRegion, all []string
 	for other, addresses := range entries.byDomain {
 		all = append(all, addresses...)
 		if daemon.settings.RegionOf[other] == region {
-			near = append(near, addresses...)
+			sameRegion = append(sameRegion, addresses...)
 		}
 	}
-	if len(near) > 0 {
-		return clip(near)
+	if len(sameRegion) > 0 {
+		return limit(sameRegion)
 	}
-	return clip(all)
+	return limit(all)
 }
 
-func clip(addresses []string) []string { return addresses[:min(len(addresses), maxEntries)] }
+func limit(addresses []string) []string { return addresses[:min(len(addresses), maxAddresses)] }
 
-// count returns how many addresses callers are told in all, each as often as it
-// is told.
+// count returns the number of addresses of all domains, each counted as often as it is
+// listed.
 func (entries *entries) count() int {
 	count := 0
 	for _, addresses := range entries.byDomain {
--- a/io/beryledge/follow_test.go
+++ b/io/beryledge/follow_test.go
@@ -10,31 +10,33 @@
 	"berylspoke/core/berylfeed"
 )
 
-// Pattern: 340 daemons start within 0.3 s and each lists configuration and targets:
-// 680 lists, a megabyte each, at a store that answers 2,000 calls a second for all.
-// Only the seeds ask at once; the others hear from them, and ask once that failed.
-// One that starts anew while the fleet runs asks at once, so it is ready sooner.
-func TestOnlySeedsAskTheStoreAsTheFleetStarts(t *testing.T) {
+// Guards against an overload of the store when a whole fleet starts: 340 daemons start
+// within 0.3 s and each lists configuration and targets, 680 lists of a megabyte each at
+// a store that answers 2,000 calls a second in all. Only the seeds read the store at
+// once; the others get the items from them, and read the store if that fails. A daemon
+// that restarts while the fleet runs reads it at once, so that it is ready sooner.
+func TestOnlySeedsReadStoreAtFleetStart(t *testing.T) {
 	start := time.Unix(0, 0)
-	newcomer := func(vm berylspoke.VMID, first bool) *Daemon {
+	starting := func(vm berylspoke.VMID, first bool) *Daemon {
 		daemon := &Daemon{settings: &Settings{VM: vm, Seeds: []berylspoke.VMID{"seed"}, FirstStart: first}, started: start}
 		daemon.entries.Store(new(entries))
 		return daemon
 	}
 	feed := berylfeed.Targets
-	require.True(t, newcomer("seed", true).mustWatch(feed, start))
-	other := newcomer("other", true)
+	require.True(t, starting("seed", true).mustWatch(feed, start))
+	other := starting("other", true)
 	require.False(t, other.mustWatch(feed, start.Add(time.Second)))
-	require.True(t, other.mustWatch(feed, start.Add(peersFirst+time.Second)))
-	require.True(t, newcomer("other", false).mustWatch(feed, start))
+	require.True(t, other.mustWatch(feed, start.Add(peerWait+time.Second)))
+	require.True(t, starting("other", false).mustWatch(feed, start))
 }
 
-// All watchers lose the store at one moment, and an engine says that it leaves at
-// the next. The other daemons reach the store, but went on asking nobody for three
-// seconds, as the watchers told them of a contact that was no longer there; callers'
-// requests reached the engine after it had gone. Each daemon asks the store itself
-// so early that an answer of half a second still tells it within three.
-func TestDaemonsAskTheStoreOnceItsWatchersLostIt(t *testing.T) {
+// Guards against daemons that learn too late that an engine leaves: all watchers lose the
+// store just before it announces that. The other daemons could reach the store but did
+// not read it for three seconds, as the watchers still reported a contact that they no
+// longer had, and requests reached the engine after it had gone. Each daemon must read
+// the store early enough to learn of the change within three seconds if the answer takes
+// half a second.
+func TestDaemonsReadStoreAfterWatchersLoseIt(t *testing.T) {
 	const bound, answer = 3 * time.Second, 500 * time.Millisecond
 	start := time.Unix(1000, 0)
 	watcher, other := newUnstartedCore(start), newUnstartedCore(start)
@@ -43,42 +45,43 @@
 	}
 	other.daemon.known[berylfeed.Targets].Store(true)
 	now := start
-	other.fed(now, watcher.contact(now))
+	other.observeContact(now, watcher.newestContact(now))
 	for !other.daemon.mustWatch(berylfeed.Targets, now) {
-		now = now.Add(reportEvery)
-		other.fed(now, watcher.contact(now))
+		now = now.Add(reportInterval)
+		other.observeContact(now, watcher.newestContact(now))
 	}
 	require.Less(t, now.Sub(start), bound-answer)
 }
 
-// Pattern: the store is well, each watch waits for a second and ends without news,
-// and every third report is lost. The daemons that do not watch leave the store alone.
-func TestFedDaemonsLeaveTheStoreAlone(t *testing.T) {
+// Guards against daemons that read the store without need: the store is up, each watch
+// waits for a second and ends without changes, and every third report is lost. The
+// daemons that are no watchers must not call the store.
+func TestDaemonsWithRecentContactDoNotReadStore(t *testing.T) {
 	start := time.Unix(1000, 0)
 	watcher, other := newUnstartedCore(start), newUnstartedCore(start)
 	other.daemon.known[berylfeed.Targets].Store(true)
-	other.fed(start, berylfeed.Contact{ID: 1})
+	other.observeContact(start, berylfeed.Contact{ID: 1})
 	reports := 0
-	for now := start; now.Sub(start) < time.Minute; now = now.Add(tickEvery) {
+	for now := start; now.Sub(start) < time.Minute; now = now.Add(tickInterval) {
 		for _, feed := range watcher.feeds {
-			if now.Sub(feed.Contact()) >= watchFor {
+			if now.Sub(feed.Contact()) >= watchTimeout {
 				feed.Answered(now)
 			}
 		}
-		if now.Sub(start)%reportEvery == 0 {
+		if now.Sub(start)%reportInterval == 0 {
 			if reports++; reports%3 != 0 {
-				other.fed(now, watcher.contact(now))
+				other.observeContact(now, watcher.newestContact(now))
 			}
 		}
 		require.False(t, other.daemon.mustWatch(berylfeed.Targets, now))
 	}
 }
 
-// Guards against daemons that take a contact with the store for younger whenever they
-// hear of it again from each other, and go on asking nobody while targets leave.
-func TestContactDoesNotGrowYoungerOnItsWay(t *testing.T) {
-	const bound, answer, daemons, way = 3 * time.Second, 500 * time.Millisecond, 8, 40 * time.Millisecond
-	type told struct {
+// Guards against daemons that date a contact with the store later each time another
+// daemon passes it on, and so do not read the store while targets leave.
+func TestForwardedContactKeepsItsAge(t *testing.T) {
+	const bound, answer, daemons, latency = 3 * time.Second, 500 * time.Millisecond, 8, 40 * time.Millisecond
+	type delivery struct {
 		to      int
 		due     time.Time
 		contact berylfeed.Contact
@@ -94,19 +97,19 @@
 	for _, feed := range cores[0].feeds {
 		feed.Answered(start)
 	}
-	var sent []told
+	var sent []delivery
 	for now := start; now.Sub(start) < bound-answer; now = now.Add(10 * time.Millisecond) {
 		for len(sent) > 0 && !sent[0].due.After(now) {
-			cores[sent[0].to].fed(now, sent[0].contact)
+			cores[sent[0].to].observeContact(now, sent[0].contact)
 			sent = sent[1:]
 		}
 		for from, core := range cores {
-			if (now.Sub(start)/(10*time.Millisecond))%(reportEvery/(10*time.Millisecond)) != time.Duration(2*from) {
+			if (now.Sub(start)/(10*time.Millisecond))%(reportInterval/(10*time.Millisecond)) != time.Duration(2*from) {
 				continue
 			}
 			for to := range cores {
 				if to != from {
-					sent = append(sent, told{to, now.Add(way), core.contact(now)})
+					sent = append(sent, delivery{to, now.Add(latency), core.newestContact(now)})
 				}
 			}
 		}
@@ -116,7 +119,7 @@
 	}
 }
 
-// newUnstartedCore returns the core of a daemon that runs nothing by itself.
+// newUnstartedCore returns the core of a daemon that is not started.
 func newUnstartedCore(now time.Time) *core {
 	daemon := &Daemon{settings: &Settings{}, started: now}
 	daemon.entries.Store(new(entries))
--- a/io/beryledge/idle.go
+++ b/io/beryledge/idle.go
@@ -1,6 +1,6 @@
 package beryledge
 
-// This file defines how connections of callers that are idle are given up.
+// This file defines how idle connections of callers are closed.
 
 import (
 	"net"
@@ -11,16 +11,16 @@
 )
 
 const (
-	// idleMargin is how much longer than callers may use an idle connection it
-	// stays open, so that a request does not cross its close.
+	// idleMargin is how much longer an idle connection stays open than callers may use
+	// it, so that no request is sent while it is closed.
 	idleMargin = time.Second
-	// idleUnstated is the limit where the configuration states none.
-	idleUnstated = 15 * time.Second
-	// crowdedShare is the part of the descriptors that callers' connections may
-	// use before refused callers are asked to close theirs. Callers come back
-	// after a refusal over a new connection, and a flood of refusals would
-	// otherwise use up the descriptors with idle connections.
-	crowdedShare = 0.3
+	// defaultIdleTimeout applies if the configuration states none.
+	defaultIdleTimeout = 15 * time.Second
+	// maxConnFraction is the fraction of the descriptors that callers' connections may
+	// use before refused callers are told to close theirs. Callers retry after a
+	// refusal over a new connection, so a flood of refusals would otherwise exhaust the
+	// descriptors with idle connections.
+	maxConnFraction = 0.3
 )
 
 // idleConns tracks the callers' connections.
@@ -32,7 +32,7 @@
 
 func newIdleConns() *idleConns { return &idleConns{since: make(map[net.Conn]time.Time)} }
 
-// observe is the server's hook for the states of connections.
+// observe implements http.Server.ConnState.
 func (idle *idleConns) observe(conn net.Conn, state http.ConnState) {
 	switch state {
 	case http.StateNew:
@@ -49,32 +49,32 @@
 	}
 }
 
-// sweep closes the connections that were idle for longer than the limit.
+// sweep closes the connections that have been idle for longer than the limit.
 func (idle *idleConns) sweep(now time.Time, limit time.Duration) {
 	idle.mutex.Lock()
-	var old []net.Conn
+	var expired []net.Conn
 	for conn, since := range idle.since {
 		if now.Sub(since) > limit {
-			old = append(old, conn)
+			expired = append(expired, conn)
 			delete(idle.since, conn)
 		}
 	}
 	idle.mutex.Unlock()
-	for _, conn := range old {
+	for _, conn := range expired {
 		_ = conn.Close()
 	}
 }
 
-// sweepIdle gives up the callers' connections that no caller uses any more.
+// sweepIdle closes the callers' connections that have been idle for too long.
 func (daemon *Daemon) sweepIdle(now time.Time) {
-	limit := idleUnstated
+	limit := defaultIdleTimeout
 	if index := daemon.index.Load(); index != nil && index.Catalog().Limits.IdleTimeout > 0 {
 		limit = index.Catalog().Limits.IdleTimeout
 	}
 	daemon.idle.sweep(now, limit+idleMargin)
 }
 
-// crowded says whether callers' connections use up too many descriptors.
-func (daemon *Daemon) crowded() bool {
-	return float64(daemon.idle.open.Load()) > crowdedShare*float64(daemon.settings.Descriptors)
+// tooManyConns reports whether callers' connections use too many descriptors.
+func (daemon *Daemon) tooManyConns() bool {
+	return float64(daemon.idle.open.Load()) > maxConnFraction*float64(daemon.settings.Descriptors)
 }
--- a/io/beryledge/members.go
+++ b/io/beryledge/members.go
@@ -1,6 +1,6 @@
 package beryledge
 
-// This file defines how the membership is kept up and told to the rest.
+// This file defines how the membership is synchronised and applied.
 
 import (
 	"slices"
@@ -12,42 +12,42 @@
 	"berylspoke/core/berylmember"
 )
 
-// syncMembers asks a seed, or a peer in turn, for all members it knows. Rumours
-// are told only a few times, so what was lost on the way is made up for here.
+// syncMembers asks the seeds, or one peer in turn, for all members they know. Rumours
+// are sent only a few times, so this makes up for those that were lost.
 func (core *core) syncMembers(now time.Time) {
-	every := syncEvery
-	others := core.others()
-	if len(others) == 0 {
-		every = joinEvery
+	interval := syncInterval
+	peers := core.livePeers()
+	if len(peers) == 0 {
+		interval = joinInterval
 	}
-	if now.Sub(core.synced) < every {
+	if now.Sub(core.lastSync) < interval {
 		return
 	}
-	core.synced = now
-	targets := core.daemon.settings.Seeds
-	if len(others) > 0 {
-		turn := int(now.UnixNano()/int64(syncEvery)) % len(others)
-		targets = others[turn : turn+1]
+	core.lastSync = now
+	receivers := core.daemon.settings.Seeds
+	if len(peers) > 0 {
+		turn := int(now.UnixNano()/int64(syncInterval)) % len(peers)
+		receivers = peers[turn : turn+1]
 	}
-	for _, to := range targets {
-		if to != core.daemon.settings.VM {
-			core.daemon.transport.Send(to, core.table.Sync())
+	for _, receiver := range receivers {
+		if receiver != core.daemon.settings.VM {
+			core.daemon.transport.Send(receiver, core.table.Sync())
 		}
 	}
 }
 
-// others returns the live peers that have been heard of by themselves.
-func (core *core) others() []berylspoke.VMID {
-	var others []berylspoke.VMID
+// livePeers returns the live peers whose incarnation is known.
+func (core *core) livePeers() []berylspoke.VMID {
+	var peers []berylspoke.VMID
 	for _, vm := range core.table.Live() {
 		if vm != core.daemon.settings.VM && core.table.Known(vm) != 0 {
-			others = append(others, vm)
+			peers = append(peers, vm)
 		}
 	}
-	return others
+	return peers
 }
 
-// refreshMembers publishes the membership where it changed.
+// refreshMembers applies the membership to everything that depends on it if it changed.
 func (core *core) refreshMembers(now time.Time) {
 	fresh := newEntries(core.table)
 	if old := core.daemon.entries.Load(); old.equal(fresh) {
@@ -58,15 +58,15 @@
 		core.daemon.transport.Relink()
 	}
 	for _, feed := range core.feeds {
-		// With all watchers cut off, the others ask the store after their patience.
-		feed.SetPatience(core.daemon.fedPatience() + answerWithin)
+		// If all watchers are cut off, the others read the store after this time.
+		feed.SetPatience(core.daemon.contactAgeLimit() + firstAnswerDelay)
 	}
 	live := len(core.table.Live())
 	core.gate.SetDaemons(now, live)
 	core.gate.SetVMs(now, fresh.domains)
-	// The same daemons watch all feeds: one in contact on one feed only could not
-	// tell the others that it has all news.
-	chosen := berylmember.Ranked("watcher", core.table.Live(), watchers)
+	// The same daemons watch all feeds: one in contact on only one feed could not
+	// report to the others that it has all changes.
+	chosen := berylmember.Ranked("watcher", core.table.Live(), watcherCount)
 	core.daemon.watcher.Store(slices.Contains(chosen, core.daemon.settings.VM))
 	core.daemon.log.Info("members changed", zap.Int("live", live), zap.Int("entries", fresh.count()))
 }
--- a/io/beryledge/meters.go
+++ b/io/beryledge/meters.go
@@ -1,6 +1,6 @@
 package beryledge
 
-// This file defines the metrics and the dump of a daemon.
+// This file defines the metrics and the state dump of a daemon.
 
 import (
 	"encoding/json"
@@ -18,26 +18,26 @@
 
 // meters are the metrics of one daemon.
 type meters struct {
-	set         *metrics.Set
-	storeCalls  *metrics.Counter
-	brokenOff   *metrics.Counter
-	callersLeft *metrics.Counter
-	shed        *metrics.Counter
-	rejections  *rejections
-	outcomes    [berylgate.Outcomes]*metrics.Counter
-	latency     map[berylspoke.Kind]*metrics.Histogram
+	set                 *metrics.Set
+	storeCalls          *metrics.Counter
+	streamsAborted      *metrics.Counter
+	callersDisconnected *metrics.Counter
+	shed                *metrics.Counter
+	rejections          *rejections
+	outcomes            [berylgate.Outcomes]*metrics.Counter
+	latency             map[berylspoke.Kind]*metrics.Histogram
 }
 
 func newMeters(daemon *Daemon) *meters {
 	set := metrics.NewSet()
 	meters := &meters{
-		set:         set,
-		storeCalls:  set.NewCounter("berylspoke_store_calls_total"),
-		brokenOff:   set.NewCounter("berylspoke_streams_broken_off_total"),
-		callersLeft: set.NewCounter("berylspoke_callers_left_total"),
-		shed:        set.NewCounter("berylspoke_connections_shed_total"),
-		rejections:  newRejections(set),
-		latency:     make(map[berylspoke.Kind]*metrics.Histogram),
+		set:                 set,
+		storeCalls:          set.NewCounter("berylspoke_store_calls_total"),
+		streamsAborted:      set.NewCounter("berylspoke_streams_broken_off_total"),
+		callersDisconnected: set.NewCounter("berylspoke_callers_left_total"),
+		shed:                set.NewCounter("berylspoke_connections_shed_total"),
+		rejections:          newRejections(set),
+		latency:             make(map[berylspoke.Kind]*metrics.Histogram),
 	}
 	for outcome := range meters.outcomes {
 		name := fmt.Sprintf("berylspoke_attempts_total{outcome=%q}", berylgate.Outcome(outcome))
@@ -46,16 +46,16 @@
 	for _, kind := range []berylspoke.Kind{berylspoke.NonIdempotent, berylspoke.Idempotent, berylspoke.Streaming} {
 		meters.latency[kind] = set.NewHistogram(fmt.Sprintf("berylspoke_first_byte_seconds{kind=%q}", kind))
 	}
-	set.NewGauge("berylspoke_strain_seconds", func() float64 { return daemon.strain.delay().Seconds() })
+	set.NewGauge("berylspoke_strain_seconds", func() float64 { return daemon.pressure.delay().Seconds() })
 	set.NewGauge("berylspoke_requests_active", func() float64 { return float64(daemon.active.Load()) })
 	set.NewGauge("berylspoke_connections_opened_total", func() float64 { return float64(daemon.pool.Opened()) })
-	meters.countPeers(daemon)
+	meters.addPeerMetrics(daemon)
 	return meters
 }
 
-// countPeers adds the bytes sent to other daemons, with their headers by link and
-// without them by message.
-func (meters *meters) countPeers(daemon *Daemon) {
+// addPeerMetrics registers the bytes sent to other daemons: by link with headers, by
+// message without them.
+func (meters *meters) addPeerMetrics(daemon *Daemon) {
 	traffic := func(read func(*berylpeer.Traffic) uint64) func() float64 {
 		return func() float64 {
 			if daemon.transport == nil {
@@ -78,11 +78,11 @@
 	return meters.set.GetOrCreateCounter(fmt.Sprintf("berylspoke_refusals_total{reason=%q}", reason))
 }
 
-func (meters *meters) answered(kind berylspoke.Kind, taken time.Duration) {
-	meters.latency[kind].Update(taken.Seconds())
+func (meters *meters) observeFirstByte(kind berylspoke.Kind, latency time.Duration) {
+	meters.latency[kind].Update(latency.Seconds())
 }
 
-// Dump is the state of a daemon's process.
+// Dump is the state of a daemon as served to operators.
 type Dump struct {
 	VM      string                         `json:"vm"`
 	Ready   bool                           `json:"ready"`
@@ -106,7 +106,7 @@
 	for domain, addresses := range daemon.entries.Load().byDomain {
 		dump.Entries[string(domain)] = addresses
 	}
-	daemon.look(func(now time.Time, core *core) {
+	daemon.inspectCore(func(now time.Time, core *core) {
 		for _, member := range core.table.All() {
 			dump.Members = append(dump.Members, fmt.Sprintf("%s %s", member.VM.ID, member.Rumour.Status))
 		}
@@ -122,7 +122,7 @@
 	mux.HandleFunc("GET /metrics", func(writer http.ResponseWriter, _ *http.Request) {
 		daemon.meters.set.WritePrometheus(writer)
 	})
-	// Where processor time goes is the first question about a small VM.
+	// The profile shows where the processor time of a small VM goes.
 	mux.HandleFunc("GET /profile", pprof.Profile)
 	mux.HandleFunc("GET /state", func(writer http.ResponseWriter, _ *http.Request) {
 		writer.Header().Set("Content-Type", "application/json")
--- a/io/beryledge/news.go
+++ b/io/beryledge/news.go
@@ -1,6 +1,6 @@
 package beryledge
 
-// This file defines how news of the published items come and are put in force.
+// This file defines how changes of the published items arrive and are applied.
 
 import (
 	"maps"
@@ -14,40 +14,40 @@
 	"berylspoke/core/berylfeed"
 )
 
-// compare asks a peer for news that the store did not bring here in time: the
-// store may turn this VM away while it serves others.
-func (core *core) compare(now time.Time, from berylspoke.VMID, theirs []berylspoke.Revision) {
-	for name, revision := range theirs[:min(len(theirs), len(core.feeds))] {
+// compareFeeds pulls changes from a peer if the store did not deliver them here in time:
+// the store may reject calls of this VM while it serves others.
+func (core *core) compareFeeds(now time.Time, from berylspoke.VMID, revisions []berylspoke.Revision) {
+	for name, revision := range revisions[:min(len(revisions), len(core.feeds))] {
 		feed := core.feeds[name]
 		if feed.Known() && revision <= feed.AsOf() || revision == 0 {
-			core.behind[name] = time.Time{}
+			core.behindSince[name] = time.Time{}
 			continue
 		}
-		// All links tell of the same news within milliseconds, and a daemon that
-		// pulled it from each would get it eight times over.
-		first := core.behind[name].IsZero()
+		// All links report the same change within milliseconds, and a daemon that pulled
+		// it from each of them would receive it eight times.
+		first := core.behindSince[name].IsZero()
 		if first {
-			core.behind[name] = now
+			core.behindSince[name] = now
 		}
-		if now.Sub(core.behind[name]) >= behindFor || first && !core.daemon.watcher.Load() {
-			core.behind[name] = now
+		if now.Sub(core.behindSince[name]) >= pullDelay || first && !core.daemon.watcher.Load() {
+			core.behindSince[name] = now
 			core.daemon.transport.Send(from, berylfeed.Pull{Feed: berylfeed.Name(name), After: feed.AsOf()})
 		}
 	}
 }
 
-func (core *core) merge(now time.Time, from berylspoke.VMID, delta berylfeed.Delta) {
+func (core *core) mergeDelta(now time.Time, from berylspoke.VMID, delta berylfeed.Delta) {
 	feed := core.feeds[delta.Feed]
 	if feed.Merge(now, delta) {
-		// Those that hear from this daemon have waited for it already.
-		core.reported = time.Time{}
+		// The daemons that receive this one's reports have waited for the change already.
+		core.lastReport = time.Time{}
 		core.daemon.log.Info("news from a peer", zap.String("peer", string(from)),
 			zap.Uint8("feed", uint8(delta.Feed)), zap.Uint64("asOf", uint64(delta.AsOf)), zap.Int("changes", len(delta.Changes)))
-		core.refresh(now, delta.Feed)
+		core.refreshFeed(now, delta.Feed)
 	}
 }
 
-func (core *core) fromStore(now time.Time, message fromStore) {
+func (core *core) applyStoreAnswer(now time.Time, message storeAnswer) {
 	feed := core.feeds[message.feed]
 	if feed.Answered(now) {
 		core.daemon.log.Info("store regained", zap.Uint8("feed", uint8(message.feed)), zap.Uint64("asOf", uint64(message.asOf)))
@@ -57,52 +57,52 @@
 		change = feed.Replace
 	}
 	if change(now, message.items, message.asOf) {
-		core.refresh(now, message.feed)
-		// The peers that do not watch hear of it with the next tick.
-		core.reported = time.Time{}
+		core.refreshFeed(now, message.feed)
+		// The peers that do not watch learn of it with the next tick.
+		core.lastReport = time.Time{}
 	}
 	core.publish(message.feed)
 }
 
-// publish tells the readers of the store where to go on.
+// publish tells the readers of the store which revision to continue after.
 func (core *core) publish(name berylfeed.Name) {
 	core.daemon.revisions[name].Store(uint64(core.feeds[name].AsOf()))
 	core.daemon.known[name].Store(core.feeds[name].Known())
 }
 
-func (core *core) refresh(now time.Time, name berylfeed.Name) {
+func (core *core) refreshFeed(now time.Time, name berylfeed.Name) {
 	core.publish(name)
 	if name == berylfeed.Configuration {
 		core.refreshCatalog(now)
-		core.refreshEmptied(now)
+		core.refreshEvacuated(now)
 	} else {
 		core.refreshTargets(now)
 	}
 	core.announce()
 }
 
-// refreshEmptied takes which failure domains are to be emptied.
-func (core *core) refreshEmptied(now time.Time) {
+// refreshEvacuated applies the list of failure domains that operators evacuate.
+func (core *core) refreshEvacuated(now time.Time) {
 	items, _ := core.feeds[berylfeed.Configuration].Items(now)
-	emptied := make(map[berylspoke.FailureDomain]bool)
+	evacuated := make(map[berylspoke.FailureDomain]bool)
 	for _, domain := range core.daemon.dialect.Emptied(items) {
-		emptied[domain] = true
+		evacuated[domain] = true
 	}
-	if maps.Equal(emptied, core.emptied) {
+	if maps.Equal(evacuated, core.evacuated) {
 		return
 	}
-	core.emptied = emptied
-	core.daemon.log.Info("failure domains to be emptied changed", zap.Any("emptied", slices.Sorted(maps.Keys(emptied))))
+	core.evacuated = evacuated
+	core.daemon.log.Info("failure domains to be emptied changed", zap.Any("emptied", slices.Sorted(maps.Keys(evacuated))))
 	core.refreshTargets(now)
 }
 
-// refreshCatalog puts the newest configuration in force; one that cannot be
-// read, or an older one, changes nothing.
+// refreshCatalog applies the newest configuration; one that cannot be decoded or that is
+// older than the one in force changes nothing.
 func (core *core) refreshCatalog(now time.Time) {
 	items, _ := core.feeds[berylfeed.Configuration].Items(now)
 	catalog, err := core.daemon.dialect.Catalog(items)
 	if err != nil || catalog == nil {
-		core.daemon.log.Warn("configuration not usable", cause(err))
+		core.daemon.log.Warn("no usable configuration is published", cause(err))
 		return
 	}
 	if old := core.daemon.index.Load(); old != nil && old.Catalog().Version >= catalog.Version {
@@ -117,29 +117,29 @@
 
 func (core *core) refreshTargets(now time.Time) {
 	items, next := core.feeds[berylfeed.Targets].Items(now)
-	core.regrace = next
+	core.graceEnd = next
 	targets := make([]berylspoke.Target, 0, len(items))
-	taking := make(map[berylspoke.TargetID]bool, len(items))
+	accepting := make(map[berylspoke.TargetID]bool, len(items))
 	for _, item := range items {
 		target, err := core.daemon.dialect.Target(item)
 		if err != nil {
-			core.daemon.log.Debug("target ignored", cause(err))
+			core.daemon.log.Debug("ignoring a published item that names no target", cause(err))
 			continue
 		}
-		target.Leaving = target.Leaving || core.emptied[target.FailureDomain]
+		target.Leaving = target.Leaving || core.evacuated[target.FailureDomain]
 		if !target.Leaving {
-			taking[target.ID] = true
+			accepting[target.ID] = true
 		}
 		targets = append(targets, target)
 	}
-	core.daemon.taking.Store(&taking)
+	core.daemon.accepting.Store(&accepting)
 	core.gate.SetTargets(now, targets)
-	core.daemon.log.Info("targets changed", zap.Int("targets", len(targets)), zap.Int("leaving", len(targets)-len(taking)),
+	core.daemon.log.Info("targets changed", zap.Int("targets", len(targets)), zap.Int("leaving", len(targets)-len(accepting)),
 		zap.Uint64("asOf", uint64(core.feeds[berylfeed.Targets].AsOf())))
 }
 
-// announce tells the fleet that callers may come, once this daemon knows where
-// their requests go.
+// announce announces this daemon as ready for callers' requests once it knows the
+// configuration and the targets.
 func (core *core) announce() {
 	daemon := core.daemon
 	if daemon.ready.Load() || daemon.index.Load() == nil || !core.feeds[berylfeed.Targets].Known() {
--- a/io/beryledge/overload_test.go
+++ b/io/beryledge/overload_test.go
@@ -18,23 +18,22 @@
 	"berylspoke"
 )
 
-// processor stands for the one core of a small VM: who uses it, others wait for.
-type processor struct {
+// fakeProcessor is the only core of a small VM: one goroutine uses it at a time.
+type fakeProcessor struct {
 	mutex sync.Mutex
 	cost  atomic.Int64
 }
 
-func (processor *processor) use() {
+func (processor *fakeProcessor) use() {
 	processor.mutex.Lock()
 	defer processor.mutex.Unlock()
 	time.Sleep(time.Duration(processor.cost.Load()))
 }
 
-// costlyDialect is a dialect in which each request that is sent on uses the
-// processor.
+// costlyDialect is a dialect in which each request sent to a target uses the processor.
 type costlyDialect struct {
 	testDialect
-	processor *processor
+	processor *fakeProcessor
 }
 
 func (dialect costlyDialect) Onward(header http.Header, onward berylspoke.Onward) http.Header {
@@ -42,10 +41,10 @@
 	return dialect.testDialect.Onward(header, onward)
 }
 
-// contend makes the daemon's decisions wait for the processor like all else on it.
-func (processor *processor) contend(daemon *Daemon) {
+// contend makes the daemon's decisions wait for the processor too.
+func (processor *fakeProcessor) contend(daemon *Daemon) {
 	for daemon.ctx.Err() == nil {
-		daemon.look(func(time.Time, *core) {
+		daemon.inspectCore(func(time.Time, *core) {
 			processor.mutex.Lock()
 			defer processor.mutex.Unlock()
 		})
@@ -53,7 +52,7 @@
 	}
 }
 
-// overloadScript is what organisations ask of one VM, phase by phase.
+// overloadScript is the load that organisations put on one VM, phase by phase.
 type overloadScript struct {
 	Phases []overloadPhase `json:"phases"`
 }
@@ -62,11 +61,12 @@
 	Seconds float64 `json:"seconds"`
 	// CostMillis is the processor time of one request.
 	CostMillis int64 `json:"costMillis"`
-	// Rates are requests a second, each on a connection of its own; Partial are
-	// connections a second that bring half of a header.
+	// Rates are requests a second by organisation, each on its own connection; Partial
+	// are connections a second that send only half of a header.
 	Rates   map[string]int `json:"rates"`
 	Partial int            `json:"partial"`
-	// Served is the least part of its requests that each organisation must get.
+	// Served is the minimum fraction of its requests that each organisation must get
+	// served.
 	Served map[string]float64 `json:"served"`
 }
 
@@ -80,10 +80,10 @@
 	return script
 }
 
-// play plays all phases and checks that whoever is not served is told when to come
-// back, and that its request reaches no target.
+// play plays all phases and checks that every request that is not served is answered with
+// a Retry-After, and that it reaches no target.
 func (script overloadScript) play(t *testing.T) {
-	cpu := new(processor)
+	cpu := new(fakeProcessor)
 	target := newTestTarget(t, "d1", sealed(http.StatusOK, "done"))
 	daemon, _ := startServingWith(t, map[string]*testTarget{"desk": target}, costlyDialect{testDialect{testCatalog()}, cpu})
 	go cpu.contend(daemon)
@@ -96,13 +96,13 @@
 			continue
 		}
 		run.callers.Wait()
-		for organisation, least := range phase.Served {
-			require.GreaterOrEqual(t, tallies[organisation].part(), least, "part of %s served in phase %d", organisation, number)
+		for organisation, minimum := range phase.Served {
+			require.GreaterOrEqual(t, tallies[organisation].fraction(), minimum, "fraction of %s served in phase %d", organisation, number)
 		}
 	}
 	run.callers.Wait()
-	require.Zero(t, run.unanswered.Load(), "who is rejected is told so, and when to come back")
-	require.Equal(t, run.served.Load(), target.seen.Load(), "what is rejected reaches no target")
+	require.Zero(t, run.unanswered.Load(), "requests were rejected without a Retry-After")
+	require.Equal(t, run.served.Load(), target.seen.Load(), "rejected requests reached the target")
 }
 
 // overloadRun is one play of a script.
@@ -115,16 +115,16 @@
 
 // tally counts one organisation's requests in one phase.
 type tally struct {
-	asked  int
+	sent   int
 	served atomic.Int64
 }
 
-func (tally *tally) part() float64 { return float64(tally.served.Load()) / float64(tally.asked) }
+func (tally *tally) fraction() float64 { return float64(tally.served.Load()) / float64(tally.sent) }
 
-// overloadStep is the time between two looks which requests are due.
+// overloadStep is the time between two ticks at which due requests are sent.
 const overloadStep = 4 * time.Millisecond
 
-// phase makes the requests of one phase; they may end after it.
+// phase sends the requests of one phase; they may end after it.
 func (run *overloadRun) phase(t *testing.T, number int, phase overloadPhase) map[string]*tally {
 	tallies := make(map[string]*tally)
 	for organisation := range phase.Rates {
@@ -136,7 +136,7 @@
 		}
 		for organisation, rate := range phase.Rates {
 			for i := range dueAt(tick, rate) {
-				tallies[organisation].asked++
+				tallies[organisation].sent++
 				run.send(organisation, fmt.Sprintf("%s-%d-%d-%d", organisation, number, tick, i), tallies[organisation])
 			}
 		}
@@ -145,7 +145,7 @@
 	return tallies
 }
 
-// dueAt returns how many of a rate a second are due at a tick.
+// dueAt returns how many requests are due at a tick, for a rate in requests a second.
 func dueAt(tick, rate int) int {
 	upTo := func(tick int) int { return tick * rate * int(overloadStep) / int(time.Second) }
 	return upTo(tick+1) - upTo(tick)
@@ -158,11 +158,11 @@
 	run.callers.Add(1)
 	go func() {
 		defer run.callers.Done()
-		switch status, wait := knock(run.address, organisationKeys[organisation], id); {
+		switch status, retryAfter := sendRaw(run.address, organisationKeys[organisation], id); {
 		case status == http.StatusOK:
 			tally.served.Add(1)
 			run.served.Add(1)
-		case status != http.StatusServiceUnavailable || wait == "":
+		case status != http.StatusServiceUnavailable || retryAfter == "":
 			run.unanswered.Add(1)
 		}
 	}()
@@ -181,14 +181,14 @@
 	}
 }
 
-// knock sends one request over a connection of its own and returns the status of
-// the answer, zero for none, and when to come back.
-func knock(address, key, id string) (status int, wait string) {
-	return knockAt(address, "/file/x", key, id)
+// sendRaw sends one request over its own connection and returns the status of the
+// answer, zero for none, and its Retry-After.
+func sendRaw(address, key, id string) (status int, retryAfter string) {
+	return sendRawTo(address, "/file/x", key, id)
 }
 
-// knockAt sends one request with a path.
-func knockAt(address, path, key, id string) (status int, wait string) {
+// sendRawTo is sendRaw with a path.
+func sendRawTo(address, path, key, id string) (status int, retryAfter string) {
 	conn, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
 		return 0, ""
@@ -207,19 +207,20 @@
 	return response.StatusCode, response.Header.Get("Retry-After")
 }
 
-// Guards against a VM short of processor time that rejects without regard to whose
-// a request is: one with few requests got as small a part as the flood beside it.
-func TestFloodLeavesOthersTheirShareOfTheProcessor(t *testing.T) {
+// Guards against a CPU-starved VM that rejects requests regardless of their organisation:
+// one with few requests got as small a fraction of them served as the one that floods.
+func TestFloodDoesNotStarveOtherOrganisations(t *testing.T) {
 	readOverload(t, "flood").play(t)
 }
 
-// Guards against slow callers that hold all slots of the admission queue.
+// Guards against callers that send half of a header and hold all slots of the admission
+// queue.
 func TestPartialRequestsHoldNoSlots(t *testing.T) {
 	readOverload(t, "partial").play(t)
 }
 
-// Guards against a VM that goes on refusing after its processor is free, for as long
-// as callers keep coming.
-func TestCallersAreTakenAgainOnceTheProcessorIsFree(t *testing.T) {
+// Guards against a VM that continues to reject requests after its processor is free, for
+// as long as callers send more.
+func TestRequestsAreAdmittedOnceTheProcessorIsFree(t *testing.T) {
 	readOverload(t, "release").play(t)
 }
--- a/io/beryledge/rejection_test.go
+++ b/io/beryledge/rejection_test.go
@@ -28,34 +28,35 @@
 	return dialect.testDialect.Ask(header)
 }
 
-// holdSlots takes all slots of the admission queue and returns what frees them.
+// holdSlots takes all slots of the admission queue and returns a function that releases
+// them.
 func holdSlots(daemon *Daemon) (free func()) {
 	var held []*slot
 	for range slotsPerCore * runtime.GOMAXPROCS(0) {
-		held = append(held, daemon.admission.begin(demand{}))
+		held = append(held, daemon.admission.acquireSlot(demand{}))
 	}
 	return func() {
 		for _, slot := range held {
-			slot.free()
+			slot.release()
 		}
 	}
 }
 
-// overload lets one request wait for the processor, so that it counts as overloaded for
-// a while.
-func overload(daemon *Daemon) {
+// makeOverloaded lets one request wait for the processor, which then counts as overloaded
+// for a while.
+func makeOverloaded(daemon *Daemon) {
 	free := holdSlots(daemon)
 	waiting := make(handlerWaiter, 1)
 	daemon.admission.offer(demand{organisation: "parish"}, waiting)
 	free()
 	if <-waiting {
-		daemon.admission.hold(demand{}).free()
+		daemon.admission.newSlot(demand{}).release()
 	}
 }
 
-// floods makes an organisation get many times its cap.
-func floods(daemon *Daemon, organisation berylspoke.OrganisationID) {
-	daemon.look(func(now time.Time, core *core) {
+// exceedCap makes an organisation receive many times its cap.
+func exceedCap(daemon *Daemon, organisation berylspoke.OrganisationID) {
+	daemon.inspectCore(func(now time.Time, core *core) {
 		for range 40 {
 			request := &berylgate.Request{
 				Service: "engines", Organisation: organisation, Arrived: now, Objective: time.Hour, Input: 50_000,
@@ -66,36 +67,36 @@
 	})
 }
 
-// Guards against an organisation beyond its cap whose requests are parsed at a VM short
-// of processor time only to be refused.
+// Guards against a CPU-starved VM that parses requests of an organisation beyond its cap
+// only to refuse them.
 func TestOverCapRequestsAreRejectedUnparsed(t *testing.T) {
 	parsed := new(atomic.Int64)
 	target := newTestTarget(t, "e1", events(9))
 	dialect := countingDialect{testDialect{testCatalog()}, parsed}
 	daemon, _ := startServingWith(t, map[string]*testTarget{"engines": target}, dialect)
-	floods(daemon, "union")
-	// Levels are computed every other tick.
-	time.Sleep(3 * tickEvery)
-	overload(daemon)
-	// The listener may wait for a connection that it accepts without a decision.
-	_, _ = knock(daemon.settings.Callers, "", "first")
-	time.Sleep(2 * tickEvery)
+	exceedCap(daemon, "union")
+	// Max-min levels are computed every other tick.
+	time.Sleep(3 * tickInterval)
+	makeOverloaded(daemon)
+	// The listener may be blocked in an accept that bypasses the admission queue.
+	_, _ = sendRaw(daemon.settings.Callers, "", "first")
+	time.Sleep(2 * tickInterval)
 	parsed.Store(0)
 	for i := range 20 {
-		overload(daemon)
-		status, wait := knockAt(daemon.settings.Callers, "/draft/x", "u", fmt.Sprint("u-", i))
+		makeOverloaded(daemon)
+		status, retryAfter := sendRawTo(daemon.settings.Callers, "/draft/x", "u", fmt.Sprint("u-", i))
 		require.Equal(t, http.StatusServiceUnavailable, status)
-		require.NotEmpty(t, wait)
+		require.NotEmpty(t, retryAfter)
 	}
 	require.Zero(t, parsed.Load())
 	require.Zero(t, target.seen.Load())
-	overload(daemon)
-	status, _ := knockAt(daemon.settings.Callers, "/draft/x", "k", "k-1")
+	makeOverloaded(daemon)
+	status, _ := sendRawTo(daemon.settings.Callers, "/draft/x", "k", "k-1")
 	require.Equal(t, http.StatusOK, status, "others are served")
 }
 
-// Guards against rejections that use up the processor which they are to spare: a flood
-// is rejected at many times the rate at which it is served.
+// Guards against rejections that use up the processor time they are meant to save: in a
+// flood many times as many requests are rejected as served.
 func TestRejectedRequestIsNotCopied(t *testing.T) {
 	const rejected, allocated = 2_000, 512
 	daemon, _ := startServing(t, map[string]*testTarget{"desk": newTestTarget(t, "d1", sealed(http.StatusOK, "done"))})
@@ -111,15 +112,15 @@
 		require.NoError(t, err)
 		_, err = unix.Write(pair[0], request)
 		require.NoError(t, err)
-		listener.read(freshConn{descriptor: pair[1]}, true)
+		listener.read(pendingConn{descriptor: pair[1]}, true)
 		require.NoError(t, unix.Close(pair[0]))
 	}
 	runtime.ReadMemStats(&after)
 	require.Less(t, (after.TotalAlloc-before.TotalAlloc)/rejected, uint64(allocated))
 }
 
-// Guards against requests that are parsed before they are rejected, as they come over
-// connections which their organisation keeps from requests that were served.
+// Guards against requests that are parsed before they are rejected because they arrive on
+// connections kept open after requests of their organisation that were served.
 func TestMostlyRejectedOrganisationsKeepNoConnections(t *testing.T) {
 	const offered = 40
 	target := newTestTarget(t, "d1", sealed(http.StatusOK, "done"))
@@ -130,7 +131,7 @@
 		daemon.admission.offer(demand{organisation: "clergy"}, rejected)
 	}
 	for range offered {
-		time.Sleep(expireAfter / offered)
+		time.Sleep(expiryCheckDelay / offered)
 		daemon.admission.expire()
 	}
 	free()
--- a/io/beryledge/settings.go
+++ b/io/beryledge/settings.go
@@ -12,11 +12,11 @@
 	"berylspoke"
 )
 
-// Settings are what one process is started with.
+// Settings are the settings of one daemon.
 type Settings struct {
-	// Name is the VM's name for people, as it stands in logs.
+	// Name is the VM's readable name, used in logs.
 	Name string
-	// VM is the address that peers reach this daemon at, which names it.
+	// VM is the address at which peers reach this daemon; it serves as its id.
 	VM            berylspoke.VMID
 	FailureDomain berylspoke.FailureDomain
 	Region        berylspoke.Region
@@ -25,9 +25,9 @@
 	Seeds []berylspoke.VMID
 	// FirstStart is set when the whole fleet starts for the first time.
 	FirstStart bool
-	// Callers, Ready, Resolve, Operators and Metrics are the addresses for
-	// callers' requests, the platform's question whether the daemon takes them,
-	// callers' question where to connect, the dump, and the metrics.
+	// Callers, Ready, Resolve, Operators and Metrics are the listen addresses for
+	// callers' requests, the platform's readiness checks, callers' requests for the
+	// addresses to connect to, the state dump, and the metrics.
 	Callers, Ready, Resolve, Operators, Metrics string
 	// MemoryBytes and Descriptors bound the process.
 	MemoryBytes int64
@@ -35,18 +35,17 @@
 	// Capacity is the processor time of the VM in hundredths of a core.
 	Capacity uint16
 	// StopWithin is the time after which a process that was asked to stop is
-	// killed.
+	// killed by the platform.
 	StopWithin time.Duration
-	// RetryRatio and RetrySlack bound the sends beyond the first of each
-	// request over the whole fleet.
+	// RetryRatio and RetrySlack bound the retries of requests over the whole fleet.
 	RetryRatio, RetrySlack float64
 	// Store is the address of the platform's store.
 	Store string
-	// FleetKey is what daemons prove to each other.
+	// FleetKey is the shared key with which daemons authenticate to each other.
 	FleetKey string
 }
 
-// Check returns the first fault of the settings, named by its field.
+// Check returns an error that names the first invalid setting.
 func (settings *Settings) Check() error {
 	addresses := []struct{ name, value string }{
 		{"callers' address", settings.Callers}, {"ready address", settings.Ready},
@@ -70,8 +69,8 @@
 	return nil
 }
 
-// waitsForPeers says whether a daemon lets its peers tell it first what is
-// published: all start at this moment, and it is none of those that ask for all.
+// waitsForPeers reports whether a daemon first waits for the published items from its
+// peers: the whole fleet starts now, and it is none of the seeds, which read the store.
 func (settings *Settings) waitsForPeers() bool {
 	return settings.FirstStart && len(settings.Seeds) > 0 && !slices.Contains(settings.Seeds, settings.VM)
 }
--- a/io/beryledge/standin_test.go
+++ b/io/beryledge/standin_test.go
@@ -23,8 +23,8 @@
 	"berylspoke/core/berylgate"
 )
 
-// testDialect is a dialect with headers of its own, so that these tests do not
-// depend on a platform's names.
+// testDialect is a dialect with its own header names, so that these tests do not depend
+// on a platform.
 type testDialect struct{ catalog *berylspoke.Catalog }
 
 var _ berylspoke.Dialect = testDialect{}
@@ -99,7 +99,7 @@
 func (testDialect) Target(item berylspoke.Item) (berylspoke.Target, error) {
 	service, address, found := strings.Cut(string(item.Value), " ")
 	if !found {
-		return berylspoke.Target{}, errors.Errorf("target %s is garbled", item.Key)
+		return berylspoke.Target{}, errors.Errorf("target %s is malformed", item.Key)
 	}
 	return berylspoke.Target{
 		ID: berylspoke.TargetID(strings.TrimPrefix(item.Key, "t/")), Service: berylspoke.ServiceID(service),
@@ -107,7 +107,7 @@
 	}, nil
 }
 
-// testStore is a store in memory that can be made to fail.
+// testStore is an in-memory store that can be made to fail.
 type testStore struct {
 	mutex    sync.Mutex
 	items    map[string]berylspoke.Item
@@ -172,7 +172,7 @@
 	}
 }
 
-// testTarget is a target whose answers a test writes.
+// testTarget is a target whose answers come from a handler of the test.
 type testTarget struct {
 	*httptest.Server
 	id    string
@@ -196,7 +196,7 @@
 
 func (target *testTarget) address() string { return strings.TrimPrefix(target.URL, "http://") }
 
-// sealed answers as a target does.
+// sealed returns a handler that answers as a target does.
 func sealed(status int, body string) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
 		_, _ = io.Copy(io.Discard, request.Body)
@@ -207,7 +207,7 @@
 	}
 }
 
-// raw answers with bytes of the test's own and closes the connection.
+// raw returns a handler that answers with arbitrary bytes and closes the connection.
 func raw(answer func(id string) string) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
 		_, _ = io.Copy(io.Discard, request.Body)
@@ -244,8 +244,8 @@
 
 var daemons atomic.Int64
 
-// ownHost returns a loopback address that no other process and no other daemon
-// of this one uses, so that a fixed port on it is free.
+// ownHost returns a loopback address that no other process and no other daemon in this
+// process uses, so that fixed ports on it are free.
 func ownHost() string {
 	process := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d", 1+process>>8&0x7f, process&0xff, 1+daemons.Add(1))
@@ -256,7 +256,7 @@
 	return startWith(t, store, testDialect{testCatalog()}, seeds...)
 }
 
-// startWith runs a daemon that speaks a dialect.
+// startWith runs a daemon with a dialect.
 func startWith(t *testing.T, store berylspoke.Store, dialect berylspoke.Dialect, seeds ...berylspoke.VMID) *Daemon {
 	host := ownHost()
 	settings := &Settings{
@@ -276,12 +276,13 @@
 	return daemon
 }
 
-// startServing runs a daemon that knows the targets.
+// startServing runs a daemon with targets, by service with an optional #number, and waits
+// until it is ready.
 func startServing(t *testing.T, targets map[string]*testTarget) (*Daemon, *testStore) {
 	return startServingWith(t, targets, testDialect{testCatalog()})
 }
 
-// startServingWith runs a daemon that speaks a dialect and knows the targets.
+// startServingWith is startServing with a dialect.
 func startServingWith(t *testing.T, targets map[string]*testTarget, dialect berylspoke.Dialect) (*Daemon, *testStore) {
 	store := newTestStore()
 	store.put("c/1", "catalog")
@@ -291,15 +292,14 @@
 	}
 	daemon := startWith(t, store, dialect)
 	require.Eventually(t, daemon.Ready, 10*time.Second, 10*time.Millisecond)
-	earnRetries(daemon)
+	fillRetryBudget(daemon)
 	return daemon, store
 }
 
-// earnRetries lets the daemon earn what retries cost, by first requests that end
-// at once.
-func earnRetries(daemon *Daemon) {
+// fillRetryBudget fills the retry budgets by requests that end at once.
+func fillRetryBudget(daemon *Daemon) {
 	const enough = 4
-	daemon.look(func(now time.Time, core *core) {
+	daemon.inspectCore(func(now time.Time, core *core) {
 		for service := range testCatalog().Services {
 			for range enough {
 				request := &berylgate.Request{Service: service, Arrived: now, Objective: time.Minute}
@@ -310,8 +310,8 @@
 	})
 }
 
-// ask sends one request and returns the answer.
-func ask(t *testing.T, daemon *Daemon, method, path, id, body string) (*http.Response, string, error) {
+// send sends one request and returns the answer and its body.
+func send(t *testing.T, daemon *Daemon, method, path, id, body string) (*http.Response, string, error) {
 	request, err := http.NewRequest(method, "http://"+daemon.settings.Callers+path, strings.NewReader(body))
 	require.NoError(t, err)
 	request.Host = "h.example"
--- a/io/beryledge/stop.go
+++ b/io/beryledge/stop.go
@@ -12,71 +12,72 @@
 )
 
 const (
-	// stopNotice is the least time between the announcement and the end: callers
-	// keep the addresses that they were told for a while.
+	// stopNotice is the minimum time between the announcement and the end: callers
+	// cache the addresses that they resolved for a while.
 	stopNotice = 1500 * time.Millisecond
-	// stopQuiet is the time without a request after which callers have left.
+	// stopQuiet is the time without a request after which callers count as gone.
 	stopQuiet = 800 * time.Millisecond
-	// stopReserve is left of the time to stop within for the last answers to
-	// arrive before the process is killed.
+	// stopReserve is the end of the stop timeout that is reserved for the last answers
+	// to arrive before the process is killed.
 	stopReserve = 500 * time.Millisecond
-	// stopStreams and stopCalls are the times after the announcement up to which
-	// a stream, and any other request, is still taken. A caller that comes later
-	// missed the news of the stop; what it asks for might not end in time, and
-	// another daemon takes it at once.
-	stopStreams = 2500 * time.Millisecond
-	stopCalls   = 5 * time.Second
-	// stopWait is when it may come back, which it does at another daemon.
-	stopWait = 20 * time.Millisecond
-	// stopLook is the time between two looks at what is left.
-	stopLook = 50 * time.Millisecond
+	// acceptStreams and acceptCalls are the times after the announcement up to which
+	// streams and other requests are still accepted. A later caller has not noticed the
+	// announcement. Its request might not end in time, and another daemon accepts it at
+	// once.
+	acceptStreams = 2500 * time.Millisecond
+	acceptCalls   = 5 * time.Second
+	// stopRetryAfter is the delay after which such a caller may retry, which it does at
+	// another daemon.
+	stopRetryAfter = 20 * time.Millisecond
+	// stopPollInterval is the time between two checks whether callers have left.
+	stopPollInterval = 50 * time.Millisecond
 )
 
-// Stop leaves the fleet without cutting a request: the daemon is announced as
-// leaving and serves on until its callers have left.
+// Stop leaves the fleet without interrupting requests: the daemon announces that it is
+// leaving and continues to serve until its callers have left.
 func (daemon *Daemon) Stop() {
-	began := time.Now()
-	daemon.stopBegan.Store(began.UnixNano())
+	started := time.Now()
+	daemon.stopStarted.Store(started.UnixNano())
 	daemon.stopping.Store(true)
 	daemon.log.Info("stopping", zap.Int64("active", daemon.active.Load()))
-	daemon.look(func(now time.Time, core *core) {
+	daemon.inspectCore(func(now time.Time, core *core) {
 		core.table.Leave(now)
 		core.tick(now)
 	})
-	last := began.Add(daemon.settings.StopWithin - stopReserve)
-	for time.Now().Before(last) && !daemon.quiet(began) {
-		time.Sleep(stopLook)
+	deadline := started.Add(daemon.settings.StopWithin - stopReserve)
+	for time.Now().Before(deadline) && !daemon.quiet(started) {
+		time.Sleep(stopPollInterval)
 	}
-	ctx, cancel := context.WithDeadline(context.Background(), last.Add(stopReserve/2))
+	ctx, cancel := context.WithDeadline(context.Background(), deadline.Add(stopReserve/2))
 	defer cancel()
-	err := daemon.callers.Shutdown(ctx)
+	err := daemon.callerServer.Shutdown(ctx)
 	daemon.log.Info("stopped", zap.Int64("active", daemon.active.Load()), cause(err))
 	daemon.Kill()
 }
 
-// tooLate says whether a stopping daemon no longer takes a request of a kind.
+// tooLate reports whether a stopping daemon no longer accepts a request of a kind.
 func (daemon *Daemon) tooLate(now time.Time, kind berylspoke.Kind) bool {
 	if !daemon.stopping.Load() {
 		return false
 	}
-	since := now.Sub(time.Unix(0, daemon.stopBegan.Load()))
+	since := now.Sub(time.Unix(0, daemon.stopStarted.Load()))
 	if kind == berylspoke.Streaming {
-		return since > stopStreams
+		return since > acceptStreams
 	}
-	return since > stopCalls
+	return since > acceptCalls
 }
 
-// quiet says whether the callers have left.
-func (daemon *Daemon) quiet(began time.Time) bool {
+// quiet reports whether callers have stopped sending requests and none is active.
+func (daemon *Daemon) quiet(started time.Time) bool {
 	now := time.Now()
 	last := time.Unix(0, daemon.lastRequest.Load())
-	return now.Sub(began) > stopNotice && now.Sub(last) > stopQuiet && daemon.active.Load() == 0
+	return now.Sub(started) > stopNotice && now.Sub(last) > stopQuiet && daemon.active.Load() == 0
 }
 
-// Reload takes what may change while the process runs: the seeds, the time to
-// stop within, and the retry budget. Addresses need a new process.
+// Reload applies the settings that may change while the process runs: the seeds and the
+// time to stop within. Changes of addresses need a new process.
 func (daemon *Daemon) Reload(settings *Settings) {
-	daemon.look(func(now time.Time, core *core) {
+	daemon.inspectCore(func(now time.Time, core *core) {
 		daemon.settings.Seeds = settings.Seeds
 		daemon.settings.StopWithin = settings.StopWithin
 		core.table.Join(now, settings.Seeds)
--- a/io/beryledge/strain.go
+++ b/io/beryledge/strain.go
@@ -1,6 +1,6 @@
 package beryledge
 
-// This file defines how a daemon notices that it has too little processor time.
+// This file defines how a daemon measures its CPU pressure and reacts to it.
 
 import (
 	"sync"
@@ -10,72 +10,74 @@
 )
 
 const (
-	// strainWeight is the part of one observation in the mean delay: the last
-	// twenty requests and ticks count.
-	strainWeight = 0.05
-	// strainHigh is the mean delay beyond which the daemon asks callers to go
-	// elsewhere. A decision takes a tenth of a millisecond, and up to three on a
-	// VM at two thirds of its processor; at this delay a request waits three times
-	// on its way through the daemon for as long, a tenth of its objective.
-	strainHigh = 12 * time.Millisecond
-	// withdrawFor is how long a strained daemon is not told to callers: they keep
-	// what they were told for a second, and its queues drain meanwhile.
-	withdrawFor = 3 * time.Second
-	// withdrawLeast is the number of other daemons in the failure domain that
-	// must be left to callers.
-	withdrawLeast = 2
+	// observationWeight is the weight of one observation in the mean delay, which thus
+	// covers about the last twenty requests and ticks.
+	observationWeight = 0.05
+	// highPressure is the mean delay beyond which the daemon makes callers use other
+	// daemons. A decision takes a tenth of a millisecond, and up to three milliseconds
+	// on a VM at two thirds of its processor. A request waits for the processor three
+	// times on its way through the daemon, which at this delay takes a tenth of its
+	// objective in total.
+	highPressure = 12 * time.Millisecond
+	// withdrawDuration is how long the address of a daemon under high CPU pressure is
+	// not given to callers: they cache addresses for a second, and the daemon's queues
+	// drain in the meantime.
+	withdrawDuration = 3 * time.Second
+	// minOtherEntries is the number of other daemons in the failure domain that must
+	// remain announced to callers.
+	minOtherEntries = 2
 )
 
-// strain is the mean delay of decisions and ticks, which wait for the processor
-// when it is short. A strained daemon closes the connections that it refused
-// something on, and callers pick again.
-type strain struct {
+// cpuPressure is the mean delay of decisions and ticks, which grows when they have to
+// wait for the processor. Under high CPU pressure the daemon closes connections on which
+// it refused a request, so that their callers choose an address again.
+type cpuPressure struct {
 	mutex sync.Mutex
 	mean  time.Duration
 }
 
-// observe takes how long a decision took, or how late a tick was.
-func (strain *strain) observe(delay time.Duration) {
-	strain.mutex.Lock()
-	defer strain.mutex.Unlock()
-	strain.mean += time.Duration(strainWeight * float64(max(delay, 0)-strain.mean))
+// observe adds the time that a decision took, or by which a tick was late.
+func (pressure *cpuPressure) observe(delay time.Duration) {
+	pressure.mutex.Lock()
+	defer pressure.mutex.Unlock()
+	pressure.mean += time.Duration(observationWeight * float64(max(delay, 0)-pressure.mean))
 }
 
-// high says whether the processor is short.
-func (strain *strain) high() bool { return strain.delay() > strainHigh }
+// high reports whether the CPU pressure is high.
+func (pressure *cpuPressure) high() bool { return pressure.delay() > highPressure }
 
 // delay returns the mean delay.
-func (strain *strain) delay() time.Duration {
-	strain.mutex.Lock()
-	defer strain.mutex.Unlock()
-	return strain.mean
+func (pressure *cpuPressure) delay() time.Duration {
+	pressure.mutex.Lock()
+	defer pressure.mutex.Unlock()
+	return pressure.mean
 }
 
-// withdraw takes a strained daemon out of what callers are told, and back. One
-// caller with a flood of requests may have picked it; told of other addresses,
-// it leaves within a second, where closing connections alone would bring it back
-// over a new one.
+// withdraw removes the daemon's address from resolve answers while the CPU pressure is
+// high, and announces it again afterwards. A caller with a flood of requests may have
+// chosen this daemon; given other addresses it moves within a second, whereas closing
+// its connections alone would make it return over new ones.
 func (core *core) withdraw(now time.Time) {
 	daemon := core.daemon
-	if !daemon.ready.Load() || daemon.stopping.Load() || now.Before(core.withdrawn) {
+	if !daemon.ready.Load() || daemon.stopping.Load() || now.Before(core.withdrawnUntil) {
 		return
 	}
-	strained := daemon.strain.high() && core.announcedNear() >= withdrawLeast
-	switch withdrawn := !core.withdrawn.IsZero(); {
-	case strained:
-		core.withdrawn = now.Add(withdrawFor)
+	starved := daemon.pressure.high() && core.announcedInDomain() >= minOtherEntries
+	switch withdrawn := !core.withdrawnUntil.IsZero(); {
+	case starved:
+		core.withdrawnUntil = now.Add(withdrawDuration)
 		core.table.Announce("", daemon.settings.Capacity)
-		daemon.log.Warn("withdrawn from callers, processor short", zap.Int("othersNear", core.announcedNear()))
+		daemon.log.Warn("withdrawn from callers, processor short", zap.Int("othersNear", core.announcedInDomain()))
 	case withdrawn:
-		core.withdrawn = time.Time{}
+		core.withdrawnUntil = time.Time{}
 		core.table.Announce(daemon.settings.Callers, daemon.settings.Capacity)
 		daemon.log.Info("back for callers")
 	}
 }
 
-// announcedNear counts the other daemons of the failure domain that callers are
-// told of.
-func (core *core) announcedNear() int {
+// announcedInDomain returns the number of other daemons in the failure domain that are
+// announced to callers.
+func (core *core) announcedInDomain() int {
 	count := 0
 	for _, vm := range core.table.Live() {
 		member := core.table.Member(vm)
--- a/io/beryledge/strain_test.go
+++ b/io/beryledge/strain_test.go
@@ -10,29 +10,30 @@
 	"berylspoke/core/berylmember"
 )
 
-// Pattern: all callers of one organisation come to one VM of 0.19 cores with many
-// times what it can take. Its decisions then wait for the processor for tens of
-// milliseconds. Twenty such requests must show it, and it must be over soon after
-// they end, or a VM would be shunned for one slow moment.
-func TestStrainShowsAndPasses(t *testing.T) {
-	var strain strain
+// Guards against a CPU pressure that rises too late or stays high: all callers of one
+// organisation send many times what it can serve to one VM of 0.19 cores, and its
+// decisions wait for the processor for tens of milliseconds. The pressure must be high
+// after twenty such requests and normal soon after they end, or callers would avoid the
+// VM because of a single slow moment.
+func TestCPUPressureRisesAndFalls(t *testing.T) {
+	var pressure cpuPressure
 	for range 50 {
-		strain.observe(2 * time.Millisecond)
+		pressure.observe(2 * time.Millisecond)
 	}
-	require.False(t, strain.high())
+	require.False(t, pressure.high())
 	for range 20 {
-		strain.observe(60 * time.Millisecond)
+		pressure.observe(60 * time.Millisecond)
 	}
-	require.True(t, strain.high())
+	require.True(t, pressure.high())
 	for range 40 {
-		strain.observe(2 * time.Millisecond)
+		pressure.observe(2 * time.Millisecond)
 	}
-	require.False(t, strain.high())
+	require.False(t, pressure.high())
 }
 
-// Callers pick one of the addresses at random, so a VM with four times the
-// processor time of the smallest is told four times, and equal ones once.
-func TestAddressesAreToldByProcessorTime(t *testing.T) {
+// Callers pick one of the addresses at random, so the address of a VM with four times the
+// processor time of the smallest is listed four times, and that of the smallest once.
+func TestAddressesAreListedByCapacity(t *testing.T) {
 	now := time.Unix(0, 0)
 	options := berylmember.DefaultOptions()
 	options.Open = true
--- a/io/beryledge/stream.go
+++ b/io/beryledge/stream.go
@@ -1,6 +1,6 @@
 package beryledge
 
-// This file defines how the events of a stream are passed on.
+// This file defines how the events of a stream are forwarded.
 
 import (
 	"bytes"
@@ -17,22 +17,22 @@
 )
 
 const (
-	// streamBuffer is the first size of the buffer for events; one event has some
+	// initialBufferBytes is the initial size of the event buffer; one event has some
 	// hundred bytes.
-	streamBuffer = 2048
-	// eventBytes bounds one event.
-	eventBytes = 1 << 20
+	initialBufferBytes = 2048
+	// maxEventBytes bounds one event.
+	maxEventBytes = 1 << 20
 )
 
-// stream is what a caller has of a stream.
+// stream is what a caller has received of a stream.
 type stream struct {
-	// begun is set once the header and an event were passed on.
-	begun bool
-	// last is the id of the last event passed on, if numbered.
+	// started is set once the header has been sent to the caller.
+	started bool
+	// last is the id of the last event forwarded, if numbered.
 	last     int64
 	numbered bool
-	// impatience ends an attempt that does not begin in time.
-	impatience *time.Timer
+	// firstByteTimer cancels an attempt whose first byte does not arrive in time.
+	firstByteTimer *time.Timer
 }
 
 var (
@@ -40,36 +40,37 @@
 	idField  = []byte("id:")
 )
 
-// passStream passes the events of an answer on as they come, whole ones only:
-// an engine may stop in the middle of one, and the stream then goes on at another
-// engine after the last whole event.
-func (call *call) passStream(decision berylgate.Decision, exchange *berylconn.Exchange, reply berylspoke.Reply) bool {
-	if err := faultOf(exchange.Response, reply); err != nil {
+// forwardStream forwards the events of an answer as they arrive, but only complete ones:
+// an engine may fail in the middle of an event, and the stream is then resumed at
+// another engine after the last complete one.
+func (call *call) forwardStream(decision berylgate.Decision, exchange *berylconn.Exchange, reply berylspoke.Reply) bool {
+	if err := checkAnswer(exchange.Response, reply); err != nil {
 		exchange.Discard()
-		return call.broken(decision, err)
+		return call.answerFailed(decision, err)
 	}
 	call.mayHaveRun = true
 	err := call.copyEvents(exchange, reply)
 	if err != nil {
 		exchange.Discard()
-		return call.broken(decision, err)
+		return call.answerFailed(decision, err)
 	}
 	exchange.Done()
-	if !call.stream.begun {
-		call.beginStream(exchange.Response)
+	if !call.stream.started {
+		call.startStream(exchange.Response)
 	}
-	call.end(decision, berylgate.Succeeded, nil)
+	call.endAttempt(decision, berylgate.Succeeded, nil)
 	return true
 }
 
-// copyEvents returns nil once the answer ended as its framing says.
+// copyEvents forwards the events of an answer. It returns nil once the answer has ended
+// as its framing requires.
 func (call *call) copyEvents(exchange *berylconn.Exchange, reply berylspoke.Reply) error {
-	buffer := make([]byte, 0, streamBuffer)
+	buffer := make([]byte, 0, initialBufferBytes)
 	first := true
 	for {
 		if len(buffer) == cap(buffer) {
-			if len(buffer) >= eventBytes {
-				return errors.New("event is too large")
+			if len(buffer) >= maxEventBytes {
+				return errors.New("stream event is too large")
 			}
 			buffer = append(buffer, 0)[:len(buffer)]
 		}
@@ -77,20 +78,20 @@
 		buffer = buffer[:len(buffer)+read]
 		if read > 0 && first {
 			first = false
-			if call.stream.impatience != nil {
-				call.stream.impatience.Stop()
+			if call.stream.firstByteTimer != nil {
+				call.stream.firstByteTimer.Stop()
 			}
-			call.begin(reply)
+			call.noteFirstByte(reply)
 		}
 		if end := bytes.LastIndex(buffer, eventEnd); end >= 0 {
-			whole := buffer[:end+len(eventEnd)]
-			if failure := call.passEvents(exchange, whole); failure != nil {
+			complete := buffer[:end+len(eventEnd)]
+			if failure := call.forwardEvents(exchange, complete); failure != nil {
 				return failure
 			}
-			buffer = buffer[:copy(buffer, buffer[len(whole):])]
+			buffer = buffer[:copy(buffer, buffer[len(complete):])]
 		}
 		if errors.Is(err, io.EOF) {
-			return endOf(buffer)
+			return checkEnd(buffer)
 		}
 		if err != nil {
 			return errors.Wrap(err, "stream was cut")
@@ -98,42 +99,42 @@
 	}
 }
 
-// endOf returns nil if a stream ended after a whole event.
-func endOf(rest []byte) error {
+// checkEnd returns an error if a stream ended in the middle of an event.
+func checkEnd(rest []byte) error {
 	if len(bytes.TrimSpace(rest)) > 0 {
-		return errors.New("stream ended within an event")
+		return errors.New("stream ended in the middle of an event")
 	}
 	return nil
 }
 
-// passEvents writes whole events at once.
-func (call *call) passEvents(exchange *berylconn.Exchange, events []byte) error {
-	events, err := call.stream.follow(events)
+// forwardEvents writes complete events to the caller and flushes them.
+func (call *call) forwardEvents(exchange *berylconn.Exchange, events []byte) error {
+	events, err := call.stream.skipReceived(events)
 	if err != nil || len(events) == 0 {
 		return err
 	}
-	if !call.stream.begun {
-		call.beginStream(exchange.Response)
+	if !call.stream.started {
+		call.startStream(exchange.Response)
 	}
 	if _, err := call.writer.Write(events); err != nil {
-		return errors.Wrap(err, "caller cannot be written to")
+		return errors.Wrap(err, "cannot write to caller")
 	}
-	return errors.Wrap(http.NewResponseController(call.writer).Flush(), "caller cannot be written to")
+	return errors.Wrap(http.NewResponseController(call.writer).Flush(), "cannot write to caller")
 }
 
-// beginStream passes on the header of the first engine's answer, which a stream
-// keeps when it goes on at another.
-func (call *call) beginStream(response *http.Response) {
+// startStream sends the header of the first engine's answer to the caller. A stream that
+// is resumed at another engine keeps it.
+func (call *call) startStream(response *http.Response) {
 	call.copyHeader(response)
 	call.writer.WriteHeader(http.StatusOK)
-	call.stream.begun = true
-	call.daemon.meters.answered(call.route.Kind, time.Since(call.arrived))
+	call.stream.started = true
+	call.daemon.meters.observeFirstByte(call.route.Kind, time.Since(call.arrived))
 }
 
-// follow checks that events go on where the stream stands, and returns those
-// that the caller lacks.
-func (stream *stream) follow(events []byte) ([]byte, error) {
-	lacking := events
+// skipReceived checks that events continue the stream without a gap, and returns those
+// that the caller has not received.
+func (stream *stream) skipReceived(events []byte) ([]byte, error) {
+	missing := events
 	for rest := events; len(rest) > 0; {
 		event, after, _ := bytes.Cut(rest, eventEnd)
 		id, numbered := eventID(event)
@@ -143,17 +144,17 @@
 		}
 		switch {
 		case stream.numbered && id <= stream.last:
-			lacking = rest
+			missing = rest
 		case stream.numbered && id != stream.last+1:
-			return nil, errors.Errorf("event %d follows event %d", id, stream.last)
+			return nil, errors.Errorf("event id %d does not follow event id %d", id, stream.last)
 		default:
 			stream.last, stream.numbered = id, true
 		}
 	}
-	return lacking, nil
+	return missing, nil
 }
 
-// eventID returns the id of an event.
+// eventID returns the id of an event, and false if it has no numeric one.
 func eventID(event []byte) (int64, bool) {
 	for len(event) > 0 {
 		line, rest, _ := bytes.Cut(event, []byte("\n"))
