--- a/io/beryledge/actor.go
+++ b/io/beryledge/actor.go
@@ -159,7 +159,7 @@
 		core.applyStoreAnswer(now, message)
 	case storeFailed:
 		if core.feeds[message.feed].Failed() {
-			core.daemon.log.Warn("store lost", zap.Uint8("feed", uint8(message.feed)), cause(message.err))
+			core.daemon.log.Warn("store is unreachable", zap.Uint8("feed", uint8(message.feed)), cause(message.err))
 		}
 	case inspect:
 		message.function(now, core)
@@ -170,7 +170,7 @@
 func (core *core) tick(now time.Time) {
 	if now.Sub(core.lastTick) > suspendThreshold {
 		core.table.Resume(now)
-		core.daemon.log.Warn("process slept", zap.Duration("for", now.Sub(core.lastTick)))
+		core.daemon.log.Warn("process was suspended", zap.Duration("for", now.Sub(core.lastTick)))
 	}
 	core.daemon.pressure.observe(now.Sub(core.lastTick) - tickInterval)
 	core.lastTick = now
--- a/io/beryledge/attempt.go
+++ b/io/beryledge/attempt.go
@@ -30,7 +30,7 @@
 	firstByteTimeoutFactor = 4
 )
 
-var errFirstByteTimeout = errors.New("target is silent")
+var errFirstByteTimeout = errors.New("no first byte from the target in time")
 
 // attempt sends the request to the chosen target and forwards the answer. It returns
 // false if the request may be retried at another target.
@@ -250,7 +250,7 @@
 		// The caller has the header and some events of a stream that should have been
 		// resumed here. This answer cannot follow them, and ending without an error
 		// would make the stream look complete.
-		call.log("stream broken off", zap.String("target", string(decision.Target.ID)), zap.Int("status", response.StatusCode))
+		call.log("stream aborted", zap.String("target", string(decision.Target.ID)), zap.Int("status", response.StatusCode))
 		call.abortStream()
 	}
 	call.daemon.meters.observeFirstByte(call.route.Kind, time.Since(call.arrived))
@@ -267,7 +267,7 @@
 	if decision.Refusal != nil {
 		return false
 	}
-	call.log("request goes on elsewhere", zap.String("failed", string(first.Target.ID)), zap.String("target", string(decision.Target.ID)))
+	call.log("retrying the request at another target", zap.String("failed", string(first.Target.ID)), zap.String("target", string(decision.Target.ID)))
 	call.next = &decision
 	return true
 }
--- a/io/beryledge/callers.go
+++ b/io/beryledge/callers.go
@@ -171,7 +171,7 @@
 		call.refuse(http.StatusRequestEntityTooLarge, berylspoke.ReasonMalformed, 0)
 		return false
 	}
-	call.log("caller left before its request was whole", cause(err))
+	call.log("caller disconnected before its request was complete", cause(err))
 	panic(http.ErrAbortHandler)
 }
 
@@ -229,14 +229,14 @@
 		zap.Float64("level", decision.Share.Level), zap.Float64("cap", decision.Share.Cap),
 	}
 	if call.stream.started {
-		call.log("stream broken off", fields...)
+		call.log("stream aborted", fields...)
 		call.abortStream()
 	}
 	status, retryAfter := http.StatusServiceUnavailable, refusal.RetryAfter
 	if call.mayHaveRun {
 		status, retryAfter = http.StatusBadGateway, 0
 	}
-	call.log("request given up", fields...)
+	call.log("request refused by the gate", fields...)
 	call.answer(status, refusal.Reason, retryAfter)
 }
 
@@ -245,7 +245,7 @@
 	if call.incoming.Context().Err() != nil {
 		call.disconnected()
 	}
-	call.log("time over", zap.Bool("mayHaveRun", call.mayHaveRun), zap.Bool("begun", call.stream.started))
+	call.log("request timed out", zap.Bool("mayHaveRun", call.mayHaveRun), zap.Bool("begun", call.stream.started))
 	if call.stream.started {
 		call.abortStream()
 	}
@@ -264,7 +264,7 @@
 
 // disconnected ends a request without an answer, as its caller has disconnected.
 func (call *call) disconnected() {
-	call.log("caller left", zap.Bool("mayHaveRun", call.mayHaveRun))
+	call.log("caller disconnected", zap.Bool("mayHaveRun", call.mayHaveRun))
 	call.daemon.meters.callersDisconnected.Inc()
 	panic(http.ErrAbortHandler)
 }
--- a/io/beryledge/cpupressure.go
+++ b/io/beryledge/cpupressure.go
@@ -67,11 +67,11 @@
 	case starved:
 		core.withdrawnUntil = now.Add(withdrawDuration)
 		core.table.Announce("", daemon.settings.Capacity)
-		daemon.log.Warn("withdrawn from callers, processor short", zap.Int("othersNear", core.announcedInDomain()))
+		daemon.log.Warn("address withdrawn from callers, CPU pressure is high", zap.Int("othersNear", core.announcedInDomain()))
 	case withdrawn:
 		core.withdrawnUntil = time.Time{}
 		core.table.Announce(daemon.settings.Callers, daemon.settings.Capacity)
-		daemon.log.Info("back for callers")
+		daemon.log.Info("address announced to callers again")
 	}
 }
 
--- a/io/beryledge/feeds.go
+++ b/io/beryledge/feeds.go
@@ -41,7 +41,7 @@
 	if feed.Merge(now, delta) {
 		// The daemons that receive this one's reports have waited for the change already.
 		core.lastReport = time.Time{}
-		core.daemon.log.Info("news from a peer", zap.String("peer", string(from)),
+		core.daemon.log.Info("received changes from a peer", zap.String("peer", string(from)),
 			zap.Uint8("feed", uint8(delta.Feed)), zap.Uint64("asOf", uint64(delta.AsOf)), zap.Int("changes", len(delta.Changes)))
 		core.refreshFeed(now, delta.Feed)
 	}
@@ -50,7 +50,7 @@
 func (core *core) applyStoreAnswer(now time.Time, message storeAnswer) {
 	feed := core.feeds[message.feed]
 	if feed.Answered(now) {
-		core.daemon.log.Info("store regained", zap.Uint8("feed", uint8(message.feed)), zap.Uint64("asOf", uint64(message.asOf)))
+		core.daemon.log.Info("store is reachable again", zap.Uint8("feed", uint8(message.feed)), zap.Uint64("asOf", uint64(message.asOf)))
 	}
 	change := feed.Change
 	if message.full {
@@ -92,7 +92,7 @@
 		return
 	}
 	core.evacuated = evacuated
-	core.daemon.log.Info("failure domains to be emptied changed", zap.Any("emptied", slices.Sorted(maps.Keys(evacuated))))
+	core.daemon.log.Info("evacuated failure domains changed", zap.Any("emptied", slices.Sorted(maps.Keys(evacuated))))
 	core.refreshTargets(now)
 }
 
--- a/io/beryledge/members.go
+++ b/io/beryledge/members.go
@@ -68,5 +68,5 @@
 	// report to the others that it has all changes.
 	chosen := berylmember.Ranked("watcher", core.table.Live(), watcherCount)
 	core.daemon.watcher.Store(slices.Contains(chosen, core.daemon.settings.VM))
-	core.daemon.log.Info("members changed", zap.Int("live", live), zap.Int("entries", fresh.count()))
+	core.daemon.log.Info("membership changed", zap.Int("live", live), zap.Int("entries", fresh.count()))
 }
--- a/io/beryledge/stream.go
+++ b/io/beryledge/stream.go
@@ -94,7 +94,7 @@
 			return checkEnd(buffer)
 		}
 		if err != nil {
-			return errors.Wrap(err, "stream was cut")
+			return errors.Wrap(err, "stream was truncated")
 		}
 	}
 }
