--- a/catalog.go
+++ b/catalog.go
@@ -1,41 +1,42 @@
 package berylspoke
 
-// This file defines what operators declare for routing: routes, services,
-// organisations and limits, and what targets say of themselves.
+// This file defines the configuration that operators declare (routes, services,
+// organisations and limits) and the targets that register themselves.
 
 import (
 	"slices"
 	"time"
 )
 
-// Kind says how often a request of a route may run.
+// Kind says whether the requests of a route may be executed more than once.
 type Kind uint8
 
 const (
-	// NonIdempotent requests run at most once.
+	// NonIdempotent requests are executed at most once.
 	NonIdempotent Kind = iota
-	// Idempotent requests may run again on another target.
+	// Idempotent requests may be retried on another target.
 	Idempotent
-	// Streaming requests are answered by a series of events. They run at most
-	// once unless their route is resumable.
+	// Streaming requests are answered by a series of events. They are executed at
+	// most once unless their route is resumable.
 	Streaming
 )
 
-// String returns the kind as logged.
+// String returns the name of the kind in logs and metrics.
 func (kind Kind) String() string {
 	return [...]string{"nonIdempotent", "idempotent", "streaming"}[kind]
 }
 
-// Regions are those in which requests may be served and what engines keep of them may
-// lie; nil allows all.
+// Regions is the set of regions in which requests may be served and in which engines
+// may cache their prompts; nil allows all regions.
 type Regions []Region
 
-// Allow says whether a region is among them.
+// Allow reports whether a region is in the set.
 func (regions Regions) Allow(region Region) bool {
 	return regions == nil || slices.Contains(regions, region)
 }
 
-// And returns the regions that both allow, empty but not nil if there is none.
+// And returns the regions that both sets allow. If there are none, the result is empty
+// but not nil, since nil would allow all.
 func (regions Regions) And(other Regions) Regions {
 	if regions == nil {
 		return other
@@ -49,78 +50,81 @@
 	return both
 }
 
-// Share is the part of a route's traffic that goes to one service.
+// Share is the fraction of a route's traffic that goes to one service: its weight
+// relative to the sum of the route's weights.
 type Share struct {
 	Service ServiceID
 	Weight  int
 }
 
-// Route says where the requests of a host and path prefix go.
+// Route maps the requests of a host and path prefix to services.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string
 	Kind   Kind
-	// Resumable streams may go on at another target after the last event.
+	// Resumable streams may continue on another target after the last event that was
+	// delivered.
 	Resumable bool
-	// Anonymous routes need no key.
+	// Anonymous routes accept requests without a key.
 	Anonymous bool
-	// Timeout is the longest time a caller is kept waiting.
+	// Timeout bounds the time that a caller waits for its answer.
 	Timeout time.Duration
-	// Objective is the time to the first byte within which an answer counts in
-	// full.
+	// Objective is the service level objective for the time to the first byte. A later
+	// answer does not count in full.
 	Objective time.Duration
-	// Attempts bounds the targets that one request may be sent to.
+	// Attempts is the maximum number of targets that a request is sent to.
 	Attempts int
-	// Priority ranks routes; zero is the most urgent.
+	// Priority ranks routes; zero is the highest priority.
 	Priority int
 	// Shares lists the services that serve the route.
 	Shares []Share
-	// Regions are those in which its requests may be served.
+	// Regions restricts where the route's requests may be served.
 	Regions Regions
 }
 
 // EngineSpec describes the model engines of a service.
 type EngineSpec struct {
-	// Slots is the number of requests an engine runs at once.
+	// Slots is the number of requests that an engine runs concurrently.
 	Slots int
-	// Memory is the number of tokens an engine keeps.
+	// Memory is the capacity of an engine's KV cache.
 	Memory Tokens
-	// EventTokens is the number of tokens in one event of a stream.
+	// EventTokens is the number of generated tokens in one event of a stream.
 	EventTokens Tokens
 }
 
-// Service is one declared service; Engine is nil for a plain one.
+// Service is one declared service; Engine is nil for a plain service.
 type Service struct {
 	ID         ServiceID
 	HealthPath string
-	// MaxConnections bounds the connections to one target from all daemons
-	// together.
+	// MaxConnections bounds the connections to one target, summed over all daemons.
 	MaxConnections int
 	Engine         *EngineSpec
-	// ColdFor is how long a target is cold after it starts, zero if it never is.
+	// ColdFor is how long a target stays cold after its start; zero means that it is
+	// never cold.
 	ColdFor time.Duration
-	// ColdPerSecond is the rate of requests from all daemons together that a cold target
-	// bears.
+	// ColdPerSecond is the maximum request rate of a cold target, summed over all
+	// daemons.
 	ColdPerSecond float64
 }
 
-// Limits bound what a caller may send.
+// Limits bounds what callers may send.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
 	HeaderTimeout time.Duration
 	IdleTimeout   time.Duration
-	// TokensPerSecond is what the engines produce together, where each token
-	// read counts once and each token generated twice.
+	// TokensPerSecond is the total capacity of the engines. A prompt token counts once,
+	// a generated token twice.
 	TokensPerSecond Tokens
 }
 
-// Organisation is one customer that shares capacity, and the keys that prove it.
+// Organisation is one customer that shares capacity, with the keys that authenticate
+// its requests.
 type Organisation struct {
 	ID   OrganisationID
 	Keys []string
-	// Regions are those in which its requests may be served.
+	// Regions restricts where the organisation's requests may be served.
 	Regions Regions
 }
 
@@ -133,25 +137,25 @@
 	Limits        Limits
 }
 
-// Target is what one back end says of itself.
+// Target is one back end as it describes itself.
 type Target struct {
 	ID            TargetID
 	Service       ServiceID
 	Address       string
 	FailureDomain FailureDomain
 	Slots         int
-	// Leaving targets take no new requests.
+	// Leaving targets are draining and accept no new requests.
 	Leaving bool
-	// ColdFor is how much longer the target was cold when it said so.
+	// ColdFor is the cold time that remained when the target published it.
 	ColdFor time.Duration
-	// Born tells two runs under one id apart.
+	// Born distinguishes successive runs under one id.
 	Born int64
 }
 
-// Revision is a position in the history of the published items.
+// Revision is a position in the store's history of changes.
 type Revision uint64
 
-// Item is one published key and its last change.
+// Item is one key of the store with its last change.
 type Item struct {
 	Key      string
 	Value    []byte
--- a/dialect.go
+++ b/dialect.go
@@ -9,51 +9,53 @@
 	"time"
 )
 
-// ErrHistoryGone means that a watch asked for changes that the store no longer
-// remembers; the reader lists all items anew.
-var ErrHistoryGone = errors.New("history of the store is gone")
+// ErrHistoryGone means that the store has discarded changes that a watch asked for; the
+// reader has to list all items again.
+var ErrHistoryGone = errors.New("requested changes are no longer in the store's history")
 
-// Store reads the published items; nothing is ever written to it.
+// Store reads the published items. It is read-only.
 type Store interface {
-	// List returns all items below a prefix and the revision before which no
-	// change is missing.
+	// List returns all items below a prefix and the revision up to which the list
+	// is complete.
 	List(ctx context.Context, prefix string) ([]Item, Revision, error)
-	// Watch returns the changes after a revision as soon as there are any, and
-	// the revision to go on from.
+	// Watch waits for changes after a revision, at most for the given time. It returns
+	// them with the revision to continue from.
 	Watch(ctx context.Context, prefix string, after Revision, wait time.Duration) ([]Item, Revision, error)
 }
 
-// Part is one piece of a prompt that other prompts may begin with too.
+// Part is one segment of a prompt, which other prompts may have as a prefix too.
 type Part struct {
 	ID     uint64
 	Tokens Tokens
 }
 
-// Ask is what a caller's headers say of its request.
+// Ask holds what a caller's headers say about its request.
 type Ask struct {
 	ID  RequestID
 	Key string
-	// TimeLeft is how long the caller goes on waiting.
+	// TimeLeft is how much longer the caller waits for the answer.
 	TimeLeft time.Duration
-	// Input and Output are the tokens of the prompt and the most to generate.
+	// Input is the number of tokens in the prompt, Output the maximum to generate.
 	Input, Output Tokens
-	// OutputHint is the caller's guess of the tokens generated, zero for none.
+	// OutputHint is the caller's estimate of the generated tokens, zero for none.
 	OutputHint Tokens
-	// Parts lists the prompt's pieces in order; the last is the request's own.
+	// Parts lists the segments of the prompt in order; the last one belongs to this
+	// request alone.
 	Parts []Part
-	// LastEvent is the last event of the stream that the caller has.
+	// LastEvent is the last event of the stream that the caller has received.
 	LastEvent int64
 }
 
-// Onward is what a daemon tells a target beside the caller's own headers.
+// Onward holds what a daemon adds to the caller's headers when it forwards a request to
+// a target.
 type Onward struct {
 	TimeLeft     time.Duration
 	Target       TargetID
 	Organisation OrganisationID
-	// Source is the address of the engine to fetch shared parts of the prompt from,
-	// empty for none.
+	// Source is the address of the engine to fetch the KV cache of shared prefix
+	// segments from, empty for none.
 	Source string
-	// Resume is set when the stream goes on after event LastEvent.
+	// Resume is set if the stream continues after LastEvent.
 	Resume    bool
 	LastEvent int64
 }
@@ -63,41 +65,42 @@
 	Running, Waiting, Slots int
 }
 
-// Reply is what the headers of a target's answer say.
+// Reply holds what the headers of a target's answer say.
 type Reply struct {
 	ID RequestID
-	// Sealed answers carry the proof that a target made them.
+	// Sealed answers carry the proof that a target produced them.
 	Sealed bool
-	// NotRun answers say that the target did not run the request.
+	// NotRun answers state that the target did not execute the request.
 	NotRun bool
-	// Load is nil where the target tells none.
+	// Load is nil if the target reports none.
 	Load *EngineLoad
 }
 
 // Dialect translates a platform's headers and published items.
 type Dialect interface {
-	// Prefixes returns the prefixes below which configuration and targets are
-	// published.
+	// Prefixes returns the key prefixes below which the configuration and the targets
+	// are published.
 	Prefixes() (configuration, targets string)
-	// Ask reads a caller's headers.
+	// Ask parses a caller's headers.
 	Ask(header http.Header) (Ask, error)
-	// Peek reads the key and the tokens from the first bytes of a request that was
-	// not parsed; what is not among them stays empty.
+	// Peek extracts the key and the token counts from the first bytes of a request that
+	// has not been parsed. Fields whose header is not within these bytes stay zero.
 	Peek(head []byte) Ask
-	// Onward makes the headers for a target out of the caller's.
-	Onward(header http.Header, onward Onward) http.Header
-	// Reply reads the headers of a target's answer.
+	// Onward returns the headers to send to a target, made from the caller's.
+	Onward(header http.Header, info Onward) http.Header
+	// Reply parses the headers of a target's answer.
 	Reply(status int, header http.Header) Reply
-	// Back copies to a caller the headers of a target's answer that concern it.
+	// Back copies the headers of a target's answer that concern the caller.
 	Back(header, received http.Header)
-	// Name sets the header that names the request in an answer of our own.
+	// Name sets the header that holds the request id in an answer that the daemon
+	// itself gives.
 	Name(header http.Header, id RequestID)
-	// Catalog decodes the configuration, nil if none is published.
+	// Catalog decodes the configuration; it returns nil if none is published.
 	Catalog(items []Item) (*Catalog, error)
-	// Emptied returns the failure domains to whose targets operators want nothing more to
-	// be sent, from the items of the configuration.
+	// Emptied returns the failure domains that operators evacuate, from the items of
+	// the configuration. Their targets get no new requests.
 	Emptied(items []Item) []FailureDomain
-	// Target decodes one published target; an error means that the item names
-	// none.
+	// Target decodes one published target. An error means that the item does not
+	// describe a target.
 	Target(item Item) (Target, error)
 }
--- a/interfaces.go
+++ b/interfaces.go
@@ -1,30 +1,30 @@
 package berylspoke
 
-// This file defines the interfaces whose implementations live below core and io.
+// This file defines the interfaces that packages below core and io implement.
 
 import (
 	"context"
 )
 
-// Message is a typed message between two daemons.
+// Message is a message between two daemons.
 type Message interface {
-	// PeerMessage marks the types that may cross between daemons.
+	// PeerMessage marks the types that daemons exchange.
 	PeerMessage()
 }
 
-// Peers sends messages to other daemons without waiting; delivery is not
-// guaranteed and may repeat or reorder.
+// Peers sends messages to other daemons without blocking. Messages may be lost,
+// duplicated or reordered.
 type Peers interface {
 	Send(to VMID, message Message)
 }
 
-// Published is one patch as the platform published it.
+// Published is one patch as published by the platform.
 type Published struct {
 	Number EntryNumber
 	Body   []byte
 }
 
-// VM is one entry VM as the platform lists it.
+// VM is one entry VM in the platform's list.
 type VM struct {
 	ID            VMID
 	FailureDomain FailureDomain
@@ -33,14 +33,14 @@
 	Leaving       bool
 }
 
-// Platform reads what the platform publishes; every method blocks until there
-// is news, the context ends, or the platform fails.
+// Platform reads what the platform publishes. Its methods block until there is an
+// update, the context ends or the platform fails.
 type Platform interface {
 	Patches(ctx context.Context, after EntryNumber) ([]Published, error)
 	VMs(ctx context.Context, after uint64) ([]VM, uint64, error)
 }
 
-// Chunk is a piece of a streamed answer; Text starts at Offset tokens.
+// Chunk is a piece of a streamed answer. Text starts after Offset tokens.
 type Chunk struct {
 	Offset Tokens
 	Text   string
@@ -48,7 +48,7 @@
 	End    bool
 }
 
-// Draft asks a model engine for a stream that begins after Offset tokens.
+// Draft is a request to a model engine for a stream that starts after Offset tokens.
 type Draft struct {
 	Request   RequestID
 	Prompt    string
@@ -72,13 +72,15 @@
 	Body   []byte
 }
 
-// LoadReport is what a target says of itself, late by its lag.
+// LoadReport is the load that a target reports. It is older than its arrival by the lag
+// of the reports.
 type LoadReport struct {
 	Running int
 	Waiting int
 }
 
-// Targets reaches back ends; errors are refusals with a verdict.
+// Targets sends requests to back ends. Errors that concern a request carry its verdict,
+// see VerdictOf.
 type Targets interface {
 	Stream(ctx context.Context, target TargetID, draft Draft, sink func(Chunk) error) error
 	Call(ctx context.Context, target TargetID, call Call) (Answer, error)
@@ -86,7 +88,8 @@
 	Order(ctx context.Context, target TargetID, order Order) error
 }
 
-// Order asks an engine to hold a model, a version, adapters and a role.
+// Order instructs an engine to serve a version of a model with adapters in a role. Fence
+// is the fencing number by which an engine detects an outdated order.
 type Order struct {
 	Fence    uint64   `json:"fence"`
 	Model    string   `json:"model"`
--- a/verdict.go
+++ b/verdict.go
@@ -20,7 +20,7 @@
 	Ran
 )
 
-// String returns the verdict as written in answers and logs.
+// String returns the name of the verdict in answers and logs.
 func (verdict Verdict) String() string {
 	switch verdict {
 	case NotRun:
@@ -55,7 +55,7 @@
 	ReasonProcessor     Reason = "processorShort"
 )
 
-// Refusal is the final error of a request together with its verdict.
+// Refusal is the final error of a request, with its verdict.
 type Refusal struct {
 	Verdict    Verdict
 	Reason     Reason
@@ -71,11 +71,11 @@
 	return fmt.Sprintf("%s (%s)", refusal.Reason, refusal.Verdict)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the cause, or nil if there is none.
 func (refusal *Refusal) Unwrap() error { return refusal.Cause }
 
-// VerdictOf returns the verdict that err carries, and MayHaveRun for any other
-// error, since an unknown failure proves nothing.
+// VerdictOf returns the verdict that err carries. For other errors it returns
+// MayHaveRun, since they do not prove that no target executed the request.
 func VerdictOf(err error) Verdict {
 	var refusal *Refusal
 	if errors.As(err, &refusal) {
