--- a/core/beryladmission/main_test.go
+++ b/core/beryladmission/main_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestMain draws from a fixed seed, so that the verdict is the same on every
-// run; flags on the command line win.
+// TestMain sets a fixed seed for rapid, so that every run gives the same result. Flags on
+// the command line take precedence.
 func TestMain(tests *testing.M) {
 	_ = flag.Set("rapid.checks", "1000")
 	_ = flag.Set("rapid.seed", "1")
--- a/core/beryladmission/queue.go
+++ b/core/beryladmission/queue.go
@@ -11,229 +11,236 @@
 )
 
 const (
-	// maxWait is the longest that a request waits to be admitted.
+	// maxWait is the longest time that a request waits for admission.
 	maxWait = 50 * time.Millisecond
-	// maxQueued bounds the requests that wait.
+	// maxQueued is the maximum number of waiting requests.
 	maxQueued = 256
-	// minCost is the least tokens that a request counts for: one without a
-	// prompt uses the processor too.
-	minCost = 500
-	// overloadHold is how long the processor counts as overloaded after a request
-	// had to wait or was rejected.
+	// minCostTokens is the minimum cost of a request: one without a prompt uses the
+	// processor too.
+	minCostTokens = 500
+	// overloadHold is how long the processor counts as overloaded after a request had to
+	// wait or was rejected.
 	overloadHold = 200 * time.Millisecond
-	// intervalWeight is the part of one observation in the mean interval between two
-	// admissions.
+	// intervalWeight is the weight of one observation in the moving average of the
+	// interval between two admissions.
 	intervalWeight = 0.1
-	// maxIdleFlows bounds the flows that are kept though nothing waits for them.
+	// maxIdleFlows is the number of idle flows, those without waiting requests, from
+	// which on they are pruned.
 	maxIdleFlows = 1024
-	// rejectedWeight is the part of one decision in a flow's rejected part, and
-	// rejectedHigh the part from which on the flow counts as mostly rejected.
-	rejectedWeight = 0.05
-	rejectedHigh   = 0.25
+	// rejectedWeight is the weight of one decision in a flow's rejected fraction, and
+	// rejectedThreshold the fraction above which the flow counts as mostly rejected.
+	rejectedWeight    = 0.05
+	rejectedThreshold = 0.25
 )
 
 // Ticket identifies a request in the queue.
 type Ticket uint64
 
-// Request is one request that asks to be admitted.
+// Request is one request for admission.
 type Request struct {
 	Ticket       Ticket
 	Organisation berylspoke.OrganisationID
-	// Tokens are what the request counts in its organisation's share, zero for one that
-	// no engine serves.
+	// Tokens is what the request counts against its organisation's share, zero for one
+	// that no engine serves.
 	Tokens berylspoke.Tokens
 }
 
-// Cause is why a request is rejected at once.
+// Cause is the reason for a rejection.
 type Cause uint8
 
 // The causes of a rejection.
 const (
-	// NotRejected requests may be offered.
+	// NotRejected requests may be passed to Queue.Offer.
 	NotRejected Cause = iota
-	// Overload says that the processor cannot serve the request in time.
+	// Overload means that the processor cannot serve the request in time.
 	Overload
-	// OverCap says that the organisation has used up its allowance.
+	// OverCap means that the organisation has used up its allowance.
 	OverCap
 	// Causes is the number of causes.
 	Causes
 )
 
-// Change lists the requests that were decided on, in order.
+// Change lists the requests that a call decided on, in order.
 type Change struct {
 	Admitted, Rejected []Ticket
 }
 
 // Queue is the admission queue of one daemon.
 type Queue struct {
-	// slots is the number of requests that may be admitted at once, busy those that are
-	// taken.
-	slots, busy int
-	// flows are kept only while the processor is overloaded.
+	// slots is the number of requests that may be admitted at the same time, inUse the
+	// number of slots taken.
+	slots, inUse int
+	// flows is kept only while the processor is overloaded.
 	flows map[berylspoke.OrganisationID]*flow
-	// backlogged are the flows with waiting requests, in the order in which they became
-	// backlogged.
+	// backlogged holds the flows with waiting requests, in the order in which they
+	// became backlogged.
 	backlogged []*flow
 	waiting    int
-	// virtual is the virtual time: the highest start tag of an admitted request.
-	virtual float64
-	// interval is the mean time between two admissions from the queue while others
-	// waited, zero if none waited lately; last is when the latest was.
-	interval time.Duration
-	last     time.Time
-	// overloaded is until when the processor counts as overloaded.
-	overloaded time.Time
-	// allowances are the tokens that may still be admitted of organisations beyond
-	// their cap; others are not bounded.
+	// virtualTime is the maximum start tag of the admitted requests.
+	virtualTime float64
+	// meanInterval is the moving average of the time between two admissions from the
+	// queue, zero if no request waited since the last reset; lastAdmission is the start
+	// of the current interval.
+	meanInterval  time.Duration
+	lastAdmission time.Time
+	// overloadedUntil is when the processor stops counting as overloaded.
+	overloadedUntil time.Time
+	// allowances holds the remaining tokens of organisations beyond their cap; others
+	// are not limited.
 	allowances map[berylspoke.OrganisationID]float64
 }
 
-// flow is one organisation's part of the queue.
+// flow is the queue of one organisation.
 type flow struct {
-	// tag is the service that it received, in tokens on the scale of virtual.
+	// tag is the start tag of the flow's next request: a virtual time, in tokens.
 	tag     float64
-	waiting []entry
-	// queued is the cost of those that wait.
-	queued float64
-	// rejected is the mean part of its latest requests that were rejected.
-	rejected float64
+	waiting []queuedRequest
+	// queuedCost is the total cost of the waiting requests.
+	queuedCost float64
+	// rejectedFraction is the moving average of the rejections among the flow's latest
+	// requests.
+	rejectedFraction float64
 }
 
-// decided takes one decision into the rejected part.
-func (flow *flow) decided(rejected float64) {
-	flow.rejected += rejectedWeight * (rejected - flow.rejected)
+// recordDecision adds one decision to the rejected fraction: 1 for a rejection, 0 for
+// an admission.
+func (flow *flow) recordDecision(rejected float64) {
+	flow.rejectedFraction += rejectedWeight * (rejected - flow.rejectedFraction)
 }
 
-// entry is one request that waits.
-type entry struct {
+// queuedRequest is one waiting request.
+type queuedRequest struct {
 	Request
-	since time.Time
+	queuedAt time.Time
 }
 
-// cost returns what the request counts in the queue.
-func (request Request) cost() float64 { return float64(max(request.Tokens, minCost)) }
+// cost returns the tokens by which the request advances its flow's tag.
+func (request Request) cost() float64 { return float64(max(request.Tokens, minCostTokens)) }
 
-// NewQueue returns an empty queue that admits so many requests at once.
+// NewQueue returns an empty queue with the given number of slots, at least one.
 func NewQueue(slots int) *Queue {
 	return &Queue{slots: max(slots, 1), flows: make(map[berylspoke.OrganisationID]*flow)}
 }
 
-// Overloaded reports whether requests had to wait or were rejected until just now.
+// Overloaded reports whether requests are waiting, or had to wait or were rejected
+// recently.
 func (queue *Queue) Overloaded(now time.Time) bool {
-	return len(queue.backlogged) > 0 || now.Before(queue.overloaded)
+	return len(queue.backlogged) > 0 || now.Before(queue.overloadedUntil)
 }
 
-// SetAllowances sets the tokens that may be admitted until the next call of
-// organisations beyond their cap. The queue takes the map over.
+// SetAllowances sets the tokens of organisations beyond their cap that may be admitted
+// until the next call. The queue takes ownership of the map.
 func (queue *Queue) SetAllowances(allowances map[berylspoke.OrganisationID]float64) {
 	queue.allowances = allowances
 }
 
-// Reject reports why Offer would reject a request at once, and counts it as rejected
-// if so. It spares the caller what only a waiting request needs.
+// Reject reports whether a request is rejected without being offered, and why. It counts
+// a rejection for overload. It spares the caller the work that only a waiting request
+// needs.
 func (queue *Queue) Reject(now time.Time, request Request) Cause {
-	if queue.exhausted(request) {
+	if queue.allowanceExhausted(request) {
 		return OverCap
 	}
-	if !queue.Overloaded(now) || queue.waiting < queue.limit() {
+	if !queue.Overloaded(now) || queue.waiting < queue.waitingLimit() {
 		return NotRejected
 	}
 	flow := queue.flow(request.Organisation)
-	ahead := flow.tag + flow.queued + request.cost()
+	ahead := flow.tag + flow.queuedCost + request.cost()
 	for _, other := range queue.backlogged {
-		if other != flow && other.tag+other.queued > ahead {
+		if other != flow && other.tag+other.queuedCost > ahead {
 			return NotRejected
 		}
 	}
-	flow.decided(1)
-	queue.overloaded = now.Add(overloadHold)
+	flow.recordDecision(1)
+	queue.overloadedUntil = now.Add(overloadHold)
 	return Overload
 }
 
-// exhausted reports whether a request's organisation has used up its allowance,
-// counting what waits.
-func (queue *Queue) exhausted(request Request) bool {
+// allowanceExhausted reports whether a request's organisation has used up its allowance,
+// including its waiting requests.
+func (queue *Queue) allowanceExhausted(request Request) bool {
 	allowance, bounded := queue.allowances[request.Organisation]
 	if !bounded || request.Tokens == 0 {
 		return false
 	}
 	if flow := queue.flows[request.Organisation]; flow != nil {
-		allowance -= flow.queued
+		allowance -= flow.queuedCost
 	}
 	return allowance <= 0
 }
 
-// MostlyRejected reports whether a good part of an organisation's latest requests were
-// rejected as the processor is overloaded.
+// MostlyRejected reports whether more than rejectedThreshold of an organisation's latest
+// requests were rejected because the processor is overloaded.
 func (queue *Queue) MostlyRejected(organisation berylspoke.OrganisationID) bool {
 	flow := queue.flows[organisation]
-	return flow != nil && flow.rejected > rejectedHigh
+	return flow != nil && flow.rejectedFraction > rejectedThreshold
 }
 
-// Offer asks for a request to be admitted. Unless the processor is overloaded that
-// happens at once; otherwise the request waits or is rejected, or another one is
-// rejected for it.
+// Offer admits a request immediately unless the processor is overloaded or no slot is
+// free. Otherwise the request waits or is rejected, or a waiting one is rejected in its
+// place.
 func (queue *Queue) Offer(now time.Time, request Request) Change {
 	change := queue.Expire(now)
 	if !queue.Overloaded(now) {
 		queue.reset()
-		if queue.busy < queue.slots {
-			queue.busy++
+		if queue.inUse < queue.slots {
+			queue.inUse++
 			change.Admitted = append(change.Admitted, request.Ticket)
 			return change
 		}
 	}
 	if len(queue.backlogged) == 0 {
-		queue.last = now
+		queue.lastAdmission = now
 	}
-	queue.push(queue.flow(request.Organisation), entry{request, now})
-	for queue.waiting > queue.limit() {
+	queue.push(queue.flow(request.Organisation), queuedRequest{request, now})
+	for queue.waiting > queue.waitingLimit() {
 		change.Rejected = append(change.Rejected, queue.evict())
 	}
 	return change
 }
 
-// Begin takes a slot for a request that was admitted earlier and had not begun.
-func (queue *Queue) Begin() { queue.busy++ }
+// Begin takes a slot for a request that was admitted before it was parsed. It does not
+// wait, so the slots taken may exceed the number of slots.
+func (queue *Queue) Begin() { queue.inUse++ }
 
-// Done frees the slot of a request that was sent on or given up.
-func (queue *Queue) Done() { queue.busy-- }
+// Done frees the slot of a request that was forwarded or abandoned.
+func (queue *Queue) Done() { queue.inUse-- }
 
 // Ready reports whether Next would admit a request.
-func (queue *Queue) Ready() bool { return queue.waiting > 0 && queue.busy < queue.slots }
+func (queue *Queue) Ready() bool { return queue.waiting > 0 && queue.inUse < queue.slots }
 
-// Next admits waiting requests while there are slots. It is to be called when the
-// processor has nothing else to do, so that requests admitted before are served first.
+// Next admits waiting requests while slots are free. Call it when the processor has
+// nothing else to do, so that requests admitted earlier are served first.
 func (queue *Queue) Next(now time.Time) Change {
 	change := queue.Expire(now)
 	for queue.Ready() {
-		change.Admitted = append(change.Admitted, queue.next(now))
+		change.Admitted = append(change.Admitted, queue.admitNext(now))
 	}
 	return change
 }
 
-// Expire rejects the requests that have waited for maxWait.
+// Expire rejects the requests that have waited for maxWait or longer.
 func (queue *Queue) Expire(now time.Time) Change {
 	var change Change
 	for i := len(queue.backlogged) - 1; i >= 0; i-- {
 		flow := queue.backlogged[i]
-		for len(flow.waiting) > 0 && now.Sub(flow.waiting[0].since) >= maxWait {
+		for len(flow.waiting) > 0 && now.Sub(flow.waiting[0].queuedAt) >= maxWait {
 			change.Rejected = append(change.Rejected, queue.remove(flow, 0).Ticket)
-			flow.decided(1)
-			queue.overloaded = now.Add(overloadHold)
+			flow.recordDecision(1)
+			queue.overloadedUntil = now.Add(overloadHold)
 		}
 	}
 	return change
 }
 
-// reset forgets what flows received, which counts only within one overload.
+// reset discards the flows and their tags, which count only within one overload.
 func (queue *Queue) reset() {
 	clear(queue.flows)
-	queue.virtual, queue.interval = 0, 0
+	queue.virtualTime, queue.meanInterval = 0, 0
 }
 
-// flow returns the flow of an organisation. One with nothing waiting starts at the
-// virtual time, so that idleness saves no credit.
+// flow returns the flow of an organisation. The tag of a flow without waiting requests is
+// at least the virtual time, so that an idle flow accumulates no credit.
 func (queue *Queue) flow(organisation berylspoke.OrganisationID) *flow {
 	found := queue.flows[organisation]
 	if found == nil {
@@ -242,37 +249,37 @@
 		queue.flows[organisation] = found
 	}
 	if len(found.waiting) == 0 {
-		found.tag = max(found.tag, queue.virtual)
+		found.tag = max(found.tag, queue.virtualTime)
 	}
 	return found
 }
 
-// prune drops the flows that would start at the virtual time anyway.
+// prune drops idle flows whose tag would be raised to the virtual time anyway.
 func (queue *Queue) prune() {
 	if len(queue.flows)-len(queue.backlogged) < maxIdleFlows {
 		return
 	}
 	maps.DeleteFunc(queue.flows, func(_ berylspoke.OrganisationID, flow *flow) bool {
-		return len(flow.waiting) == 0 && flow.tag <= queue.virtual
+		return len(flow.waiting) == 0 && flow.tag <= queue.virtualTime
 	})
 }
 
-// push adds a request to those that wait.
-func (queue *Queue) push(flow *flow, waiting entry) {
+// push appends a request to a flow's waiting requests.
+func (queue *Queue) push(flow *flow, request queuedRequest) {
 	if len(flow.waiting) == 0 {
 		queue.backlogged = append(queue.backlogged, flow)
 	}
-	flow.waiting = append(flow.waiting, waiting)
-	flow.queued += waiting.cost()
+	flow.waiting = append(flow.waiting, request)
+	flow.queuedCost += request.cost()
 	queue.waiting++
-	queue.overloaded = waiting.since.Add(overloadHold)
+	queue.overloadedUntil = request.queuedAt.Add(overloadHold)
 }
 
-// remove takes a request out of those that wait.
-func (queue *Queue) remove(flow *flow, at int) entry {
-	removed := flow.waiting[at]
-	flow.waiting = slices.Delete(flow.waiting, at, at+1)
-	flow.queued -= removed.cost()
+// remove removes the waiting request at an index of a flow.
+func (queue *Queue) remove(flow *flow, index int) queuedRequest {
+	removed := flow.waiting[index]
+	flow.waiting = slices.Delete(flow.waiting, index, index+1)
+	flow.queuedCost -= removed.cost()
 	queue.waiting--
 	if len(flow.waiting) == 0 {
 		at := slices.Index(queue.backlogged, flow)
@@ -281,45 +288,46 @@
 	return removed
 }
 
-// next admits the oldest request of the flow with the lowest tag.
-func (queue *Queue) next(now time.Time) Ticket {
-	least := queue.backlogged[0]
+// admitNext admits the oldest request of the flow with the minimum tag.
+func (queue *Queue) admitNext(now time.Time) Ticket {
+	lowest := queue.backlogged[0]
 	for _, flow := range queue.backlogged[1:] {
-		if flow.tag < least.tag {
-			least = flow
+		if flow.tag < lowest.tag {
+			lowest = flow
 		}
 	}
-	oldest := queue.remove(least, 0)
-	queue.virtual = max(queue.virtual, least.tag)
-	least.tag += oldest.cost()
-	least.decided(0)
+	oldest := queue.remove(lowest, 0)
+	queue.virtualTime = max(queue.virtualTime, lowest.tag)
+	lowest.tag += oldest.cost()
+	lowest.recordDecision(0)
 	if _, bounded := queue.allowances[oldest.Organisation]; bounded {
 		queue.allowances[oldest.Organisation] -= float64(oldest.Tokens)
 	}
-	queue.busy++
-	queue.interval += time.Duration(intervalWeight * float64(now.Sub(queue.last)-queue.interval))
-	queue.last = now
-	queue.overloaded = now.Add(overloadHold)
+	queue.inUse++
+	queue.meanInterval += time.Duration(intervalWeight * float64(now.Sub(queue.lastAdmission)-queue.meanInterval))
+	queue.lastAdmission = now
+	queue.overloadedUntil = now.Add(overloadHold)
 	return oldest.Ticket
 }
 
-// limit returns how many may wait: those that can expect to be admitted in time.
-func (queue *Queue) limit() int {
-	if queue.interval <= 0 {
+// waitingLimit returns how many requests may wait: those that can expect to be admitted
+// within maxWait at the current rate of admission.
+func (queue *Queue) waitingLimit() int {
+	if queue.meanInterval <= 0 {
 		return maxQueued
 	}
-	return min(max(int(maxWait/queue.interval), queue.slots), maxQueued)
+	return min(max(int(maxWait/queue.meanInterval), queue.slots), maxQueued)
 }
 
-// evict rejects the newest request of the flow that is furthest ahead, counting what
-// waits there.
+// evict rejects the newest request of the flow that is furthest ahead, including the
+// cost of its waiting requests.
 func (queue *Queue) evict() Ticket {
-	most := queue.backlogged[0]
+	furthest := queue.backlogged[0]
 	for _, flow := range queue.backlogged[1:] {
-		if flow.tag+flow.queued > most.tag+most.queued {
-			most = flow
+		if flow.tag+flow.queuedCost > furthest.tag+furthest.queuedCost {
+			furthest = flow
 		}
 	}
-	most.decided(1)
-	return queue.remove(most, len(most.waiting)-1).Ticket
+	furthest.recordDecision(1)
+	return queue.remove(furthest, len(furthest.waiting)-1).Ticket
 }
