--- a/core/berylfeed/contacts.go
+++ b/core/berylfeed/contacts.go
@@ -1,77 +1,79 @@
 package berylfeed
 
-// This file defines how daemons tell each other when the store last answered.
+// This file defines how daemons share when the store last answered.
 
 import (
 	"maps"
 	"time"
 )
 
-// ContactID tells answers of the store apart: by the daemon that had one and its count.
+// ContactID identifies an answer of the store by the daemon that received it and that
+// daemon's count.
 type ContactID uint64
 
-// Contact is one answer of the store to some daemon, and how long ago it came.
+// Contact is one answer of the store to some daemon; Age is the time since then.
 type Contact struct {
 	ID  ContactID
 	Age time.Duration
 }
 
-// contactMemory is how long a contact is remembered.
-const contactMemory = time.Minute
+// contactRetention is how long a contact is remembered.
+const contactRetention = time.Minute
 
-// Contacts knows when the store last answered any daemon that was heard of. A contact
-// is dated when it is first heard of. Dated anew whenever a peer passes it on, it
-// would grow younger by the way there and back each time.
+// Contacts records when the store last answered any daemon of the fleet, as far as this
+// daemon knows. A contact is dated only when it is first received: if it were dated
+// again whenever a peer passes it on, it would become younger by the network latency of
+// each hop.
 type Contacts struct {
 	// origin is the high half of the ids of this daemon's own contacts, count the low.
 	origin, count uint32
-	own           time.Time
+	lastOwn       time.Time
 	newest        time.Time
-	id            ContactID
-	heard         map[ContactID]time.Time
-	pruned        time.Time
+	newestID      ContactID
+	received      map[ContactID]time.Time
+	prunedAt      time.Time
 }
 
-// NewContacts returns the contacts of a daemon with an origin of its own.
+// NewContacts returns the contacts of a daemon. The origin must differ between daemons.
 func NewContacts(origin uint32) Contacts { return Contacts{origin: origin} }
 
-// Own notes when the store answered this daemon.
+// Own records when the store answered this daemon.
 func (contacts *Contacts) Own(at time.Time) {
-	if !at.After(contacts.own) {
+	if !at.After(contacts.lastOwn) {
 		return
 	}
-	contacts.own = at
+	contacts.lastOwn = at
 	contacts.count++
-	contacts.take(ContactID(contacts.origin)<<32|ContactID(contacts.count), at)
+	contacts.add(ContactID(contacts.origin)<<32|ContactID(contacts.count), at)
 }
 
-// Heard takes a contact that a peer told of.
+// Heard records a contact that a peer reported.
 func (contacts *Contacts) Heard(now time.Time, contact Contact) {
-	if _, known := contacts.heard[contact.ID]; known || uint32(contact.ID>>32) == contacts.origin && contacts.count > 0 {
+	if _, known := contacts.received[contact.ID]; known || uint32(contact.ID>>32) == contacts.origin && contacts.count > 0 {
 		return
 	}
-	contacts.take(contact.ID, now.Add(-contact.Age))
-	if now.Sub(contacts.pruned) > contactMemory {
-		contacts.pruned = now
-		maps.DeleteFunc(contacts.heard, func(_ ContactID, at time.Time) bool { return now.Sub(at) > contactMemory })
+	contacts.add(contact.ID, now.Add(-contact.Age))
+	if now.Sub(contacts.prunedAt) > contactRetention {
+		contacts.prunedAt = now
+		maps.DeleteFunc(contacts.received, func(_ ContactID, at time.Time) bool { return now.Sub(at) > contactRetention })
 	}
 }
 
-func (contacts *Contacts) take(id ContactID, at time.Time) {
-	if contacts.heard == nil {
-		contacts.heard = make(map[ContactID]time.Time)
+// add records a contact and the time of its answer.
+func (contacts *Contacts) add(id ContactID, at time.Time) {
+	if contacts.received == nil {
+		contacts.received = make(map[ContactID]time.Time)
 	}
-	contacts.heard[id] = at
+	contacts.received[id] = at
 	if at.After(contacts.newest) {
-		contacts.newest, contacts.id = at, id
+		contacts.newest, contacts.newestID = at, id
 	}
 }
 
-// Newest returns when the store last answered any daemon that was heard of, zero if
-// none is known of.
+// Newest returns when the store last answered any daemon, zero if no answer is known.
 func (contacts *Contacts) Newest() time.Time { return contacts.newest }
 
-// Contact returns the newest contact as it is told to peers, no older than a bound.
-func (contacts *Contacts) Contact(now time.Time, oldest time.Duration) Contact {
-	return Contact{ID: contacts.id, Age: min(max(now.Sub(contacts.newest), 0), oldest)}
+// Contact returns the newest contact to report to peers, with its age limited to maxAge.
+func (contacts *Contacts) Contact(now time.Time, maxAge time.Duration) Contact {
+	return Contact{ID: contacts.newestID, Age: min(max(now.Sub(contacts.newest), 0), maxAge)}
 }
--- a/core/berylfeed/doc.go
+++ b/core/berylfeed/doc.go
@@ -1,13 +1,13 @@
-// Package berylfeed keeps a daemon's copy of the items that a platform's store
+// Package berylfeed keeps a daemon's replica of the items that a platform's store
 // publishes below one prefix.
 //
-// The model: the copy is complete up to a revision. It moves forward by the
-// changes that a watch returns, by a full list, or by what a peer knows beyond
-// that revision; the newest revision of each key wins, so the order in which
-// the three arrive does not matter and no key ever goes back. Removed keys are
-// remembered, or a peer with an older copy would bring them back.
+// The replica is complete up to a revision. It advances by the changes that a watch
+// returns, by a full list, or by what a peer knows beyond that revision. For each key
+// the newest revision wins, so the three may arrive in any order and no key reverts to
+// an older value. Removed keys are remembered, since a peer with an older replica would
+// add them again.
 //
-// Items that vanish around an outage of the store may have lapsed only because
-// their writers could not renew them. They stay for a grace in which their
-// writers, if alive, write them again.
+// Items that disappear around an outage of the store may have lapsed only because
+// their writers could not renew them. They are kept for a grace period in which
+// writers that are alive write them again.
 package berylfeed
--- a/core/berylfeed/feed.go
+++ b/core/berylfeed/feed.go
@@ -1,6 +1,6 @@
 package berylfeed
 
-// This file defines the feed and how it moves forward.
+// This file defines the feed and how it advances.
 
 import (
 	"sort"
@@ -10,100 +10,105 @@
 )
 
 const (
-	// Grace is how long an item that vanished around an outage of the store is
-	// kept. Writers that live are back about two seconds after the store is.
+	// Grace is how long an item that disappeared around an outage of the store is
+	// kept. Writers that are alive write again about two seconds after the store returns.
 	Grace = 2200 * time.Millisecond
-	// outageEcho is the time after the end of an outage in which vanished items
-	// are still put down to it.
-	outageEcho = 2500 * time.Millisecond
+	// lapseWindow is the time after the end of an outage in which the removal of an
+	// item is still attributed to it.
+	lapseWindow = 2500 * time.Millisecond
 	// maxRemoved bounds the removed keys that are remembered. They are few (one
 	// for each start of a target), and the oldest are of no use to peers.
 	maxRemoved = 1024
 )
 
-// entry is one key; a removed one is served until grace ends.
-type entry struct {
+// record is the state of one key. A removed item is served until graceUntil.
+type record struct {
 	item berylspoke.Item
-	// last is the value before the removal, served during the grace.
-	last  []byte
-	grace time.Time
+	// lastValue is the value before the removal, served during the grace period.
+	lastValue  []byte
+	graceUntil time.Time
 }
 
-// Feed is the copy of the items below one prefix.
+// Feed is the replica of the items below one prefix.
 type Feed struct {
-	entries map[string]*entry
+	records map[string]*record
 	asOf    berylspoke.Revision
-	// last is the newest change that was taken. Revisions also count changes
-	// below other prefixes, so only this tells whether a peer has news.
-	last berylspoke.Revision
-	// whole is the revision from which on all removals are known by name: that of
-	// the last list, or of the last removal that was forgotten.
-	whole   berylspoke.Revision
-	removed int
-	known   bool
-	down    bool
-	// contact is when the store last answered this daemon, reached when it last answered
-	// any daemon that was heard of.
-	contact, reached time.Time
-	// recovered is when the store answered again after an outage: after it answered
-	// nobody for longer than patience.
-	recovered time.Time
-	patience  time.Duration
+	// lastChange is the revision of the newest change that was applied. The store's
+	// revisions also count changes below other prefixes, so only this one tells
+	// whether a peer has updates.
+	lastChange berylspoke.Revision
+	// removalsFrom is the revision after which every removal is known by its key: that
+	// of the last list, or of the last removal that was pruned.
+	removalsFrom berylspoke.Revision
+	removedCount int
+	known        bool
+	down         bool
+	// lastAnswer is when the store last answered this daemon, lastAnswerToAny when it
+	// last answered any daemon, as far as is known.
+	lastAnswer, lastAnswerToAny time.Time
+	// recoveredAt is when the store answered again after an outage.
+	recoveredAt time.Time
+	// outageThreshold is how long the store answers no daemon before that counts as an
+	// outage.
+	outageThreshold time.Duration
 }
 
 // New returns an empty feed.
-func New() *Feed { return &Feed{entries: make(map[string]*entry)} }
+func New() *Feed { return &Feed{records: make(map[string]*record)} }
 
 // SetPatience sets how long the store answers no daemon before that counts as an outage.
-func (feed *Feed) SetPatience(patience time.Duration) { feed.patience = patience }
+func (feed *Feed) SetPatience(threshold time.Duration) { feed.outageThreshold = threshold }
 
-// AsOf returns the revision up to which nothing is missing.
+// AsOf returns the revision up to which the feed is complete.
 func (feed *Feed) AsOf() berylspoke.Revision { return feed.asOf }
 
-// Last returns the revision of the newest change.
-func (feed *Feed) Last() berylspoke.Revision { return feed.last }
+// Last returns the revision of the newest change that was applied.
+func (feed *Feed) Last() berylspoke.Revision { return feed.lastChange }
 
-// Known says whether the feed has ever held the store's state.
+// Known reports whether the feed has ever held the store's state.
 func (feed *Feed) Known() bool { return feed.known }
 
 // Contact returns when the store last answered this daemon.
-func (feed *Feed) Contact() time.Time { return feed.contact }
+func (feed *Feed) Contact() time.Time { return feed.lastAnswer }
 
-// Up says whether the store answered this daemon's last call.
+// Up reports whether the store answered this daemon's last call.
 func (feed *Feed) Up() bool { return !feed.down }
 
-// Failed notes that the store did not answer and says whether that is news.
+// Failed records that the store did not answer this daemon and reports whether it was up
+// before.
 func (feed *Feed) Failed() bool {
-	news := !feed.down
+	changed := !feed.down
 	feed.down = true
-	return news
+	return changed
 }
 
-// Answered notes that the store answered and says whether it was down before.
+// Answered records that the store answered this daemon and reports whether it was down
+// before.
 func (feed *Feed) Answered(now time.Time) bool {
-	news := feed.down
+	changed := feed.down
 	feed.Reached(now, now)
-	feed.down, feed.contact = false, now
-	return news
+	feed.down, feed.lastAnswer = false, now
+	return changed
 }
 
-// Reached notes that the store answered some daemon at a time.
+// Reached records that the store answered some daemon at the given time.
 func (feed *Feed) Reached(now, at time.Time) {
 	if feed.outage(at) {
-		feed.recovered = now
+		feed.recoveredAt = now
 	}
-	if at.After(feed.reached) {
-		feed.reached = at
+	if at.After(feed.lastAnswerToAny) {
+		feed.lastAnswerToAny = at
 	}
 }
 
-// outage says whether the store has answered no daemon for so long that what is missing
-// may have lapsed. That it does not answer this daemon says nothing of the others.
+// outage reports whether the store has answered no daemon for so long that missing items
+// may have lapsed. A failure to answer this daemon alone does not count, since the store
+// may still answer the others.
 func (feed *Feed) outage(now time.Time) bool {
-	return feed.down && now.Sub(feed.reached) > feed.patience
+	return feed.down && now.Sub(feed.lastAnswerToAny) > feed.outageThreshold
 }
 
-// Replace takes a full list of the store and returns whether anything changed.
+// Replace applies a full list of the store and reports whether anything changed.
 func (feed *Feed) Replace(now time.Time, items []berylspoke.Item, asOf berylspoke.Revision) bool {
 	listed := make(map[string]bool, len(items))
 	changed := !feed.known
@@ -116,19 +121,19 @@
 	return changed
 }
 
-// remove takes out what is not among the keys of a full list.
+// remove removes the items that a full list does not contain.
 func (feed *Feed) remove(now time.Time, listed map[string]bool, asOf berylspoke.Revision) bool {
 	changed := false
-	for key, entry := range feed.entries {
-		if !listed[key] && !entry.item.Deleted && entry.item.Revision <= asOf {
+	for key, record := range feed.records {
+		if !listed[key] && !record.item.Deleted && record.item.Revision <= asOf {
 			changed = feed.apply(now, berylspoke.Item{Key: key, Revision: asOf, Deleted: true}, 0) || changed
 		}
 	}
-	feed.whole = max(feed.whole, asOf)
+	feed.removalsFrom = max(feed.removalsFrom, asOf)
 	return changed
 }
 
-// Change takes what a watch returned.
+// Change applies the changes that a watch returned and reports whether anything changed.
 func (feed *Feed) Change(now time.Time, items []berylspoke.Item, asOf berylspoke.Revision) bool {
 	changed := false
 	for _, item := range items {
@@ -138,73 +143,75 @@
 	return changed
 }
 
+// advance records that the feed is complete up to a revision.
 func (feed *Feed) advance(asOf berylspoke.Revision) {
 	feed.known = true
 	feed.asOf = max(feed.asOf, asOf)
 }
 
-// apply takes one change if it is newer; the newest revision wins so that lists,
-// watches and peers may arrive in any order.
+// apply applies a change if it is newer than the present one. The newest revision wins,
+// so the results of lists, watches and peers may arrive in any order.
 func (feed *Feed) apply(now time.Time, item berylspoke.Item, grace time.Duration) bool {
-	old := feed.entries[item.Key]
+	old := feed.records[item.Key]
 	if old != nil && (item.Revision < old.item.Revision || item.Revision == old.item.Revision && item.Deleted == old.item.Deleted) {
 		return false
 	}
-	fresh := &entry{item: item}
+	next := &record{item: item}
 	if item.Deleted {
-		fresh.grace = now.Add(max(grace, feed.graceNow(now)))
+		next.graceUntil = now.Add(max(grace, feed.currentGrace(now)))
 		if old != nil {
-			fresh.last = old.item.Value
+			next.lastValue = old.item.Value
 		}
-		feed.removed++
+		feed.removedCount++
 	}
 	if old != nil && old.item.Deleted {
-		feed.removed--
+		feed.removedCount--
 	}
-	feed.entries[item.Key] = fresh
-	feed.last = max(feed.last, item.Revision)
-	feed.forget()
+	feed.records[item.Key] = next
+	feed.lastChange = max(feed.lastChange, item.Revision)
+	feed.pruneRemoved()
 	return true
 }
 
-func (feed *Feed) graceNow(now time.Time) time.Duration {
-	if feed.outage(now) || !feed.recovered.IsZero() && now.Sub(feed.recovered) < outageEcho {
+// currentGrace returns the grace period of an item that is removed now.
+func (feed *Feed) currentGrace(now time.Time) time.Duration {
+	if feed.outage(now) || !feed.recoveredAt.IsZero() && now.Sub(feed.recoveredAt) < lapseWindow {
 		return Grace
 	}
 	return 0
 }
 
-// forget drops the oldest removed keys.
-func (feed *Feed) forget() {
-	for feed.removed > maxRemoved {
+// pruneRemoved drops the oldest removed keys beyond maxRemoved.
+func (feed *Feed) pruneRemoved() {
+	for feed.removedCount > maxRemoved {
 		oldest := ""
-		for key, entry := range feed.entries {
-			if entry.item.Deleted && (oldest == "" || entry.item.Revision < feed.entries[oldest].item.Revision) {
+		for key, record := range feed.records {
+			if record.item.Deleted && (oldest == "" || record.item.Revision < feed.records[oldest].item.Revision) {
 				oldest = key
 			}
 		}
-		feed.whole = max(feed.whole, feed.entries[oldest].item.Revision)
-		delete(feed.entries, oldest)
-		feed.removed--
+		feed.removalsFrom = max(feed.removalsFrom, feed.records[oldest].item.Revision)
+		delete(feed.records, oldest)
+		feed.removedCount--
 	}
 }
 
-// Items returns the present items sorted by key, with those in their grace, and
-// the time at which the first grace ends, zero for none.
+// Items returns the present items and those in their grace period, sorted by key, and
+// the time at which the first grace period ends, zero for none.
 func (feed *Feed) Items(now time.Time) ([]berylspoke.Item, time.Time) {
 	var items []berylspoke.Item
 	var next time.Time
-	for _, entry := range feed.entries {
-		if !entry.item.Deleted {
-			items = append(items, entry.item)
+	for _, record := range feed.records {
+		if !record.item.Deleted {
+			items = append(items, record.item)
 			continue
 		}
-		if entry.last == nil || !entry.grace.After(now) {
+		if record.lastValue == nil || !record.graceUntil.After(now) {
 			continue
 		}
-		items = append(items, berylspoke.Item{Key: entry.item.Key, Value: entry.last, Revision: entry.item.Revision})
-		if next.IsZero() || entry.grace.Before(next) {
-			next = entry.grace
+		items = append(items, berylspoke.Item{Key: record.item.Key, Value: record.lastValue, Revision: record.item.Revision})
+		if next.IsZero() || record.graceUntil.Before(next) {
+			next = record.graceUntil
 		}
 	}
 	sort.Slice(items, func(i, j int) bool { return items[i].Key < items[j].Key })
--- a/core/berylfeed/feed_test.go
+++ b/core/berylfeed/feed_test.go
@@ -13,7 +13,7 @@
 	"berylspoke"
 )
 
-// TestMain draws from a fixed seed, so that the verdict is the same on every run.
+// TestMain sets a fixed seed for rapid, so that every run gives the same result.
 func TestMain(tests *testing.M) {
 	_ = flag.Set("rapid.checks", "500")
 	_ = flag.Set("rapid.seed", "1")
@@ -21,7 +21,7 @@
 	os.Exit(tests.Run())
 }
 
-// history is a store that remembers all of its changes.
+// history is a fake store that keeps all of its changes.
 type history struct{ changes []berylspoke.Item }
 
 func (history *history) write(key string, deleted bool) {
@@ -54,10 +54,10 @@
 	return items
 }
 
-// A daemon watches, lists anew and hears from peers in any order, and peers are
-// behind or ahead of it. Callers would see an old route or a dropped key again if
-// an item ever went back. So no key goes back, and whoever is complete up to the
-// last revision has exactly what the store has.
+// Watches, lists and deltas of peers arrive in any order, and peers are behind or ahead.
+// Guards against a key that reverts to an older revision, which would bring back an old
+// route or a dropped key for callers. A feed that is complete up to the last revision
+// must equal the store.
 func TestFeedsAgreeWithTheStoreAndNeverGoBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(0, 0)
@@ -81,7 +81,7 @@
 				feed.Replace(now, store.list(), store.asOf())
 			case 4:
 				from := feeds[rapid.IntRange(0, len(feeds)-1).Draw(t, "peer")]
-				if delta, news := from.Since(now, Targets, feed.AsOf()); news {
+				if delta, newer := from.Since(now, Targets, feed.AsOf()); newer {
 					feed.Merge(now, delta)
 				}
 			}
@@ -105,10 +105,10 @@
 	}
 }
 
-// The store was away for longer than targets' entries live, and they lapsed. The
-// targets are alive and write them again about two seconds after it returns. A
-// daemon that dropped them at once would have no target for that time; one that
-// stays missing is gone after the grace.
+// Guards against a daemon without targets after an outage of the store that was longer
+// than the lifetime of the targets' items. The items lapsed, but the targets are alive and
+// write them again about two seconds after the store returns; until then the daemon keeps
+// them. An item that stays missing is removed after the grace period.
 func TestLapsedItemsAreKeptForAGrace(t *testing.T) {
 	now := time.Unix(0, 0)
 	feed := New()
@@ -132,11 +132,11 @@
 	require.Equal(t, "back", items[0].Key)
 	feed.Change(now.Add(time.Minute), []berylspoke.Item{item("back", 6, true)}, 6)
 	items, _ = feed.Items(now.Add(time.Minute))
-	require.Empty(t, items, "without an outage a removed item is gone at once")
+	require.Empty(t, items, "without an outage a removed item has no grace period")
 }
 
-// Guards against requests to a target that left without a word, as a daemon whose own
-// way to the store was cut took its removal for a lapse in an outage of the store.
+// Guards against requests to a target that left without notice. A daemon whose own link to
+// the store was cut took the removal for a lapse in an outage of the store.
 func TestRemovalThatOthersSawHasNoGrace(t *testing.T) {
 	now := time.Unix(0, 0)
 	feed := New()
--- a/core/berylfeed/messages.go
+++ b/core/berylfeed/messages.go
@@ -1,6 +1,6 @@
 package berylfeed
 
-// This file defines what daemons tell each other of their feeds.
+// This file defines the messages by which daemons synchronise their feeds.
 
 import (
 	"time"
@@ -8,7 +8,7 @@
 	"berylspoke"
 )
 
-// Name tells the feeds of one daemon apart.
+// Name identifies one of the feeds of a daemon.
 type Name uint8
 
 // The feeds.
@@ -19,21 +19,21 @@
 	Count
 )
 
-// Pull asks a peer for what it knows after a revision.
+// Pull asks a peer for its changes after a revision.
 type Pull struct {
 	Feed  Name
 	After berylspoke.Revision
 }
 
-// Change is one item of a delta; Grace is what is left of a removed item's
-// grace at the sender.
+// Change is one item of a delta; Grace is the remaining grace period of a removed item at
+// the sender.
 type Change struct {
 	Item  berylspoke.Item
 	Grace time.Duration
 }
 
-// Delta holds all changes after one revision up to another. A full one holds all
-// items instead, and what it does not name is gone.
+// Delta holds all changes after one revision up to another. A full delta holds all items
+// instead; items that it does not contain are removed.
 type Delta struct {
 	Feed    Name
 	Full    bool
@@ -53,24 +53,25 @@
 	_ berylspoke.Message = Delta{}
 )
 
-// Since returns what a peer that is complete up to a revision lacks.
+// Since returns the delta for a peer that is complete up to a revision. It returns false
+// if this feed knows nothing newer.
 func (feed *Feed) Since(now time.Time, name Name, after berylspoke.Revision) (Delta, bool) {
 	if !feed.known || feed.asOf <= after {
 		return Delta{}, false
 	}
-	// What was removed before the last list is not known here by name, and a peer
-	// that is further behind would keep it for good.
-	delta := Delta{Feed: name, Full: after < feed.whole, After: after, AsOf: feed.asOf}
-	for _, entry := range feed.entries {
-		if delta.Full || entry.item.Revision > after {
-			delta.Changes = append(delta.Changes, Change{Item: entry.item, Grace: max(entry.grace.Sub(now), 0)})
+	// The keys removed before the last list are not known here. A peer that is further
+	// behind would keep them forever, so it gets a full delta.
+	delta := Delta{Feed: name, Full: after < feed.removalsFrom, After: after, AsOf: feed.asOf}
+	for _, record := range feed.records {
+		if delta.Full || record.item.Revision > after {
+			delta.Changes = append(delta.Changes, Change{Item: record.item, Grace: max(record.graceUntil.Sub(now), 0)})
 		}
 	}
 	return delta, true
 }
 
-// Merge takes what a peer knew and returns whether anything changed. A delta
-// that begins after this feed's revision would leave a gap and is not taken.
+// Merge applies a peer's delta and reports whether anything changed. A delta that starts
+// after this feed's revision would leave a gap and is not applied.
 func (feed *Feed) Merge(now time.Time, delta Delta) bool {
 	if delta.After > feed.asOf || delta.AsOf <= feed.asOf {
 		return false
@@ -80,12 +81,12 @@
 		changed = feed.apply(now, change.Item, change.Grace) || changed
 	}
 	if delta.Full {
-		named := make(map[string]bool, len(delta.Changes))
+		present := make(map[string]bool, len(delta.Changes))
 		for _, change := range delta.Changes {
-			// A removal may be of an earlier item than the one that is here.
-			named[change.Item.Key] = !change.Item.Deleted
+			// A removal may concern an earlier item than the one that is here.
+			present[change.Item.Key] = !change.Item.Deleted
 		}
-		changed = feed.remove(now, named, delta.AsOf) || changed
+		changed = feed.remove(now, present, delta.AsOf) || changed
 	}
 	feed.advance(delta.AsOf)
 	return changed
