--- a/core/berylcatalog/index.go
+++ b/core/berylcatalog/index.go
@@ -12,12 +12,12 @@
 	"berylspoke"
 )
 
-// Index answers which route a request takes and whose a key is.
+// Index looks up the route of a request and the organisation of a key.
 type Index struct {
 	catalog *berylspoke.Catalog
 	hosts   map[string][]*berylspoke.Route
 	keys    map[string]berylspoke.OrganisationID
-	// regions are those of organisations that are bound to some.
+	// regions holds the regions of the organisations that are restricted to some.
 	regions map[berylspoke.OrganisationID]berylspoke.Regions
 }
 
@@ -34,7 +34,7 @@
 		index.hosts[route.Host] = append(index.hosts[route.Host], route)
 	}
 	for _, routes := range index.hosts {
-		// The longest prefix comes first, so the first match is the closest.
+		// The longest prefix comes first, so the first match is the longest.
 		sort.SliceStable(routes, func(i, j int) bool { return len(routes[i].Prefix) > len(routes[j].Prefix) })
 	}
 	for _, organisation := range catalog.Organisations {
@@ -51,7 +51,8 @@
 // Catalog returns the catalog that was indexed.
 func (index *Index) Catalog() *berylspoke.Catalog { return index.catalog }
 
-// Route returns the route of the longest prefix that begins the path, or nil.
+// Route returns the route with the longest matching prefix of the path, or nil. The host
+// may have a port.
 func (index *Index) Route(host, path string) *berylspoke.Route {
 	if strings.IndexByte(host, ':') >= 0 {
 		if name, _, err := net.SplitHostPort(host); err == nil {
@@ -66,7 +67,7 @@
 	return nil
 }
 
-// Organisation returns whose a key is.
+// Organisation returns the organisation of a key.
 func (index *Index) Organisation(key string) (berylspoke.OrganisationID, bool) {
 	organisation, known := index.keys[key]
 	return organisation, known
@@ -78,8 +79,8 @@
 	return route.Regions.And(index.regions[organisation])
 }
 
-// Service picks the service of a request by the weights of its route. The
-// request's id decides, so every look at one request picks the same.
+// Service picks the service of a request by the weights of its route. It depends only on
+// the hash of the request's id, so all attempts of a request pick the same service.
 func Service(route *berylspoke.Route, id berylspoke.RequestID) berylspoke.ServiceID {
 	total := 0
 	for _, share := range route.Shares {
--- a/core/berylcatalog/index_test.go
+++ b/core/berylcatalog/index_test.go
@@ -8,9 +8,9 @@
 	"berylspoke"
 )
 
-// Guards against a request that is served where its route allows it and its
-// organisation does not, or the other way round.
-func TestRegionsOfRouteAndOrganisationBothBind(t *testing.T) {
+// Guards against a request that is served in a region that only its route or only its
+// organisation allows.
+func TestRegionsOfRouteAndOrganisationBothApply(t *testing.T) {
 	index := New(&berylspoke.Catalog{
 		Routes: []berylspoke.Route{{Prefix: "/a/"}, {Prefix: "/b/", Regions: berylspoke.Regions{"r"}}},
 		Organisations: []berylspoke.Organisation{
