--- a/core/berylmodel/engine.go
+++ b/core/berylmodel/engine.go
@@ -1,6 +1,6 @@
 package berylmodel
 
-// This file defines the emulated engine.
+// This file defines the simulated engine.
 
 import (
 	"container/list"
@@ -10,210 +10,221 @@
 	"berylspoke"
 )
 
-// EngineOptions are the properties of an engine.
+// EngineOptions are the parameters of an engine.
 type EngineOptions struct {
-	Slots, Queue int
-	// Memory is what running requests and kept parts share.
-	Memory berylspoke.Tokens
-	// PrefillRate is the prompt tokens read in a millisecond.
-	PrefillRate float64
-	// Step is the time of a step without prefill, Context what each thousand
-	// tokens of running requests add, Pairs what a million pairs of tokens add
-	// while a prompt is read, and First the delay of a first token.
-	Step, Context, Pairs, First time.Duration
-	// Chunk is the most prompt tokens that one step reads.
-	Chunk berylspoke.Tokens
-	// EventTokens is the number of tokens in one event.
+	// Slots is the maximum number of running requests, QueueCapacity that of waiting
+	// ones.
+	Slots, QueueCapacity int
+	// CacheCapacity is shared by running requests and cached prompt segments.
+	CacheCapacity berylspoke.Tokens
+	// PrefillTokensPerMilli is the number of prompt tokens prefilled in a millisecond.
+	PrefillTokensPerMilli float64
+	// StepTime is the duration of a step without prefill. ContextTime is added for each
+	// thousand tokens of running requests, AttentionTime for each million pairs of
+	// tokens while a prompt is prefilled. FirstTokenDelay is added to the time of a job's
+	// first token, and of its last.
+	StepTime, ContextTime, AttentionTime, FirstTokenDelay time.Duration
+	// ChunkTokens is the maximum number of prompt tokens that one step prefills.
+	ChunkTokens berylspoke.Tokens
+	// EventTokens is the number of generated tokens in one event.
 	EventTokens berylspoke.Tokens
 }
 
-// Kitamine returns the engine of the first deployment, Parish that of
-// the second.
-func Kitamine() EngineOptions {
+// KitamineEngine returns the engine parameters of the first deployment.
+func KitamineEngine() EngineOptions {
 	return EngineOptions{
-		Slots: 64, Queue: 134, Memory: 444_000, PrefillRate: 140, Step: 2200 * time.Microsecond,
-		Context: 17 * time.Microsecond, Pairs: 295 * time.Microsecond, First: 53 * time.Millisecond,
-		Chunk: 2048, EventTokens: 8,
+		Slots: 64, QueueCapacity: 134, CacheCapacity: 444_000, PrefillTokensPerMilli: 140, StepTime: 2200 * time.Microsecond,
+		ContextTime: 17 * time.Microsecond, AttentionTime: 295 * time.Microsecond, FirstTokenDelay: 53 * time.Millisecond,
+		ChunkTokens: 2048, EventTokens: 8,
 	}
 }
 
-// Parish returns the engine of the second deployment.
-func Parish() EngineOptions {
-	options := Kitamine()
-	options.PrefillRate, options.Step, options.Memory, options.EventTokens = 92, 3030*time.Microsecond, 432_000, 6
+// ParishEngine returns the engine parameters of the second deployment.
+func ParishEngine() EngineOptions {
+	options := KitamineEngine()
+	options.PrefillTokensPerMilli, options.StepTime, options.CacheCapacity, options.EventTokens = 92, 3030*time.Microsecond, 432_000, 6
 	return options
 }
 
 // Job is one request at an engine.
 type Job struct {
 	Input, Output berylspoke.Tokens
-	Parts         []berylspoke.Part
-	// Began and Ended are called at the first event and at the last.
-	Began, Ended func(now time.Time)
-	unread       berylspoke.Tokens
-	read         berylspoke.Tokens
-	made         berylspoke.Tokens
-	begun        bool
-}
-
-// Engine is one emulated engine.
+	Segments      []berylspoke.Part
+	// Started and Ended are called with the time of the first event and of the last.
+	Started, Ended func(now time.Time)
+	// remaining is the number of prompt tokens still to prefill, prefilled the number
+	// prefilled or found in the cache.
+	remaining berylspoke.Tokens
+	prefilled berylspoke.Tokens
+	generated berylspoke.Tokens
+	started   bool
+}
+
+// Engine is one simulated engine.
 type Engine struct {
 	options EngineOptions
 	waiting []*Job
 	running []*Job
-	used    berylspoke.Tokens
-	kept    map[uint64]*list.Element
-	order   *list.List
-	keeping berylspoke.Tokens
-	// Busy says that a step is under way.
-	Busy bool
-	// Read and ReadAgain count the prompt tokens read, and those of them that
-	// are shared parts which some engine had used shortly before.
-	Read, ReadAgain berylspoke.Tokens
-	uses            Uses
-}
-
-// Uses is when each part was last used at any engine of a fleet.
-type Uses map[uint64]time.Time
-
-// reuseWindow is the time after its last use in which a part that is read again
-// counts as wasted work, as the first deployment pays for it.
+	// reserved is the memory of the running jobs.
+	reserved berylspoke.Tokens
+	// cached holds the elements of recency by segment id.
+	cached map[uint64]*list.Element
+	// recency lists the cached segments, the most recently used first.
+	recency      *list.List
+	cachedTokens berylspoke.Tokens
+	// Stepping is set while a step is in progress.
+	Stepping bool
+	// Prefilled counts the prompt tokens prefilled. Recomputed counts those of them in
+	// shared segments that some engine had used within reuseWindow.
+	Prefilled, Recomputed berylspoke.Tokens
+	lastUses              LastUses
+}
+
+// LastUses maps prompt segments to the time of their last use at any engine of a fleet.
+type LastUses map[uint64]time.Time
+
+// reuseWindow is the reuse window of the first deployment's platform, 5.9 s. Tokens of a
+// shared segment that are prefilled again within it after the segment's last use are
+// charged as waste.
 const reuseWindow = 5900 * time.Millisecond
 
-type keptPart struct {
+// cachedSegment is the value of an element of Engine.recency.
+type cachedSegment struct {
 	id     uint64
 	tokens berylspoke.Tokens
 }
 
-// NewEngine returns an idle engine. The uses are shared by all engines of a
-// fleet.
-func NewEngine(options EngineOptions, uses Uses) *Engine {
-	return &Engine{options: options, kept: make(map[uint64]*list.Element), order: list.New(), uses: uses}
+// NewEngine returns an idle engine. All engines of a fleet share lastUses.
+func NewEngine(options EngineOptions, lastUses LastUses) *Engine {
+	return &Engine{options: options, cached: make(map[uint64]*list.Element), recency: list.New(), lastUses: lastUses}
 }
 
-// Load returns what the engine tells of itself.
+// Load returns the load that the engine reports.
 func (engine *Engine) Load() berylspoke.EngineLoad {
 	return berylspoke.EngineLoad{Running: len(engine.running), Waiting: len(engine.waiting), Slots: engine.options.Slots}
 }
 
-// Admit takes a job unless the engine is full.
+// Admit enqueues a job and reports whether the queue had room.
 func (engine *Engine) Admit(now time.Time, job *Job) bool {
-	if len(engine.waiting) >= engine.options.Queue {
+	if len(engine.waiting) >= engine.options.QueueCapacity {
 		return false
 	}
 	engine.waiting = append(engine.waiting, job)
-	engine.letIn(now)
+	engine.startWaiting(now)
 	return true
 }
 
-// letIn starts waiting jobs while a slot and memory are free.
-func (engine *Engine) letIn(now time.Time) {
+// startWaiting starts waiting jobs while a slot and memory are free.
+func (engine *Engine) startWaiting(now time.Time) {
 	for len(engine.waiting) > 0 && len(engine.running) < engine.options.Slots {
 		job := engine.waiting[0]
 		need := job.Input + job.Output
-		if engine.used+need > engine.options.Memory && len(engine.running) > 0 {
+		if engine.reserved+need > engine.options.CacheCapacity && len(engine.running) > 0 {
 			return
 		}
 		engine.waiting = engine.waiting[1:]
 		engine.running = append(engine.running, job)
-		engine.used += need
-		engine.prefill(now, job)
+		engine.reserved += need
+		engine.planPrefill(now, job)
 	}
 }
 
-// prefill finds what the engine keeps of a prompt and what it has to read.
-func (engine *Engine) prefill(now time.Time, job *Job) {
+// planPrefill determines the cached prefix of a job's prompt and the tokens to prefill.
+func (engine *Engine) planPrefill(now time.Time, job *Job) {
 	missed := false
-	for i, part := range job.Parts {
-		own := i == len(job.Parts)-1
-		used, known := engine.uses[part.ID]
-		engine.uses[part.ID] = now
-		found := engine.kept[part.ID]
+	for i, segment := range job.Segments {
+		own := i == len(job.Segments)-1
+		lastUse, known := engine.lastUses[segment.ID]
+		engine.lastUses[segment.ID] = now
+		found := engine.cached[segment.ID]
 		if found != nil && !missed {
-			engine.order.MoveToFront(found)
-			job.read += part.Tokens
+			engine.recency.MoveToFront(found)
+			job.prefilled += segment.Tokens
 			continue
 		}
 		missed = true
-		if !own && known && now.Sub(used) < reuseWindow {
-			engine.ReadAgain += part.Tokens
+		if !own && known && now.Sub(lastUse) < reuseWindow {
+			engine.Recomputed += segment.Tokens
 		}
-		engine.keep(part)
+		engine.cache(segment)
 	}
-	job.unread = max(job.Input-job.read, 1)
-	engine.Read += job.unread
-	engine.yield()
+	job.remaining = max(job.Input-job.prefilled, 1)
+	engine.Prefilled += job.remaining
+	engine.evict()
 }
 
-func (engine *Engine) keep(part berylspoke.Part) {
-	if old := engine.kept[part.ID]; old != nil {
-		engine.order.MoveToFront(old)
+// cache marks a segment as the most recently used and adds it if it is not cached.
+func (engine *Engine) cache(segment berylspoke.Part) {
+	if old := engine.cached[segment.ID]; old != nil {
+		engine.recency.MoveToFront(old)
 		return
 	}
-	engine.kept[part.ID] = engine.order.PushFront(keptPart{part.ID, part.Tokens})
-	engine.keeping += part.Tokens
-}
-
-// yield drops the least recently used parts that running requests push out.
-func (engine *Engine) yield() {
-	for engine.keeping > max(engine.options.Memory-engine.used, 0) && engine.order.Len() > 0 {
-		last := engine.order.Back()
-		part := last.Value.(keptPart)
-		engine.order.Remove(last)
-		delete(engine.kept, part.id)
-		engine.keeping -= part.tokens
+	engine.cached[segment.ID] = engine.recency.PushFront(cachedSegment{segment.ID, segment.Tokens})
+	engine.cachedTokens += segment.Tokens
+}
+
+// evict drops the least recently used segments until the cache fits into the memory that
+// running jobs leave.
+func (engine *Engine) evict() {
+	for engine.cachedTokens > max(engine.options.CacheCapacity-engine.reserved, 0) && engine.recency.Len() > 0 {
+		last := engine.recency.Back()
+		segment := last.Value.(cachedSegment)
+		engine.recency.Remove(last)
+		delete(engine.cached, segment.id)
+		engine.cachedTokens -= segment.tokens
 	}
 }
 
-// Step begins the next step and returns its length, zero if there is nothing to
-// do. Finish must be called at its end.
-func (engine *Engine) Step(now time.Time) time.Duration {
-	engine.letIn(now)
+// StartStep starts the next step and returns its duration, zero if there is nothing to
+// do. FinishStep must be called at its end.
+func (engine *Engine) StartStep(now time.Time) time.Duration {
+	engine.startWaiting(now)
 	if len(engine.running) == 0 {
 		return 0
 	}
 	var context berylspoke.Tokens
 	for _, job := range engine.running {
-		context += job.read + job.made
+		context += job.prefilled + job.generated
 	}
 	const thousand, million = 1000.0, 1e6
-	length := float64(engine.options.Step) + float64(engine.options.Context)*float64(context)/thousand
+	duration := float64(engine.options.StepTime) + float64(engine.options.ContextTime)*float64(context)/thousand
 	for _, job := range engine.running {
-		if job.unread == 0 {
+		if job.remaining == 0 {
 			continue
 		}
-		chunk := min(job.unread, engine.options.Chunk)
-		length += float64(chunk) / engine.options.PrefillRate * float64(time.Millisecond)
-		pairs := float64(chunk) * (float64(job.read) + float64(chunk)/2) / million
-		length += pairs * float64(engine.options.Pairs)
-		job.unread -= chunk
-		job.read += chunk
+		chunk := min(job.remaining, engine.options.ChunkTokens)
+		duration += float64(chunk) / engine.options.PrefillTokensPerMilli * float64(time.Millisecond)
+		pairs := float64(chunk) * (float64(job.prefilled) + float64(chunk)/2) / million
+		duration += pairs * float64(engine.options.AttentionTime)
+		job.remaining -= chunk
+		job.prefilled += chunk
 		break
 	}
-	return time.Duration(math.Max(length, float64(time.Microsecond)))
+	return time.Duration(math.Max(duration, float64(time.Microsecond)))
 }
 
-// Finish ends a step: each request whose prompt is read made a token.
-func (engine *Engine) Finish(now time.Time) {
-	still := engine.running[:0]
+// FinishStep ends a step: each job whose prompt is prefilled generates a token.
+func (engine *Engine) FinishStep(now time.Time) {
+	unfinished := engine.running[:0]
 	for _, job := range engine.running {
-		if job.unread == 0 {
-			engine.makeToken(now, job)
+		if job.remaining == 0 {
+			engine.generateToken(now, job)
 		}
-		if job.made < job.Output {
-			still = append(still, job)
+		if job.generated < job.Output {
+			unfinished = append(unfinished, job)
 			continue
 		}
-		engine.used -= job.Input + job.Output
-		job.Ended(now.Add(engine.options.First))
+		engine.reserved -= job.Input + job.Output
+		job.Ended(now.Add(engine.options.FirstTokenDelay))
 	}
-	engine.running = still
+	engine.running = unfinished
 }
 
-func (engine *Engine) makeToken(now time.Time, job *Job) {
-	job.made++
-	if !job.begun && (job.made >= engine.options.EventTokens || job.made >= job.Output) {
-		job.begun = true
-		job.Began(now.Add(engine.options.First))
+// generateToken adds one token to a job and reports its first event once it is complete.
+func (engine *Engine) generateToken(now time.Time, job *Job) {
+	job.generated++
+	if !job.started && (job.generated >= engine.options.EventTokens || job.generated >= job.Output) {
+		job.started = true
+		job.Started(now.Add(engine.options.FirstTokenDelay))
 	}
 }
--- a/core/berylmodel/fleet.go
+++ b/core/berylmodel/fleet.go
@@ -1,6 +1,6 @@
 package berylmodel
 
-// This file defines the emulated fleet and its run over a load.
+// This file defines the simulated fleet and its run over a load.
 
 import (
 	"container/heap"
@@ -11,71 +11,74 @@
 	"berylspoke/core/berylgate"
 )
 
-// Policy names who decides where requests go.
+// Policy is the way in which requests are admitted and placed on engines.
 type Policy string
 
 // The policies: the product's own and two baselines.
 const (
-	// Gates are daemons that hear from each other.
+	// Gates places requests by gates that receive each other's reports.
 	Gates Policy = "gates"
-	// LocalGates are daemons that do not.
+	// LocalGates places requests by gates without reports from each other.
 	LocalGates Policy = "localGates"
-	// LeastRunning sends every request to the engine with the fewest requests of
-	// its own entry, and refuses none.
+	// LeastRunning sends every request to the engine with the fewest requests in flight
+	// from the same entry daemon, and rejects none.
 	LeastRunning Policy = "leastRunning"
 )
 
-// FleetOptions describe a fleet.
+// FleetOptions are the parameters of a fleet.
 type FleetOptions struct {
 	Policy          Policy
 	Entries         int
 	Engines         int
 	Engine          EngineOptions
 	TokensPerSecond berylspoke.Tokens
-	// ReportEvery is the time between reports, ReportLag their way.
-	ReportEvery, ReportLag time.Duration
+	// ReportInterval is the time between two reports of a gate, ReportLatency their
+	// network latency.
+	ReportInterval, ReportLatency time.Duration
 }
 
 // SmallFleet returns a fleet of the size of the first deployment.
 func SmallFleet(policy Policy) FleetOptions {
 	return FleetOptions{
-		Policy: policy, Entries: 8, Engines: 9, Engine: Kitamine(), TokensPerSecond: 350_000,
-		ReportEvery: 200 * time.Millisecond, ReportLag: 10 * time.Millisecond,
+		Policy: policy, Entries: 8, Engines: 9, Engine: KitamineEngine(), TokensPerSecond: 350_000,
+		ReportInterval: 200 * time.Millisecond, ReportLatency: 10 * time.Millisecond,
 	}
 }
 
 // Tally counts the requests of an organisation or a kind.
 type Tally struct {
-	Asked, InTime, Late, Refused int
-	// Tokens are those of the requests that were let in.
+	Submitted, InTime, Late, Rejected int
+	// Tokens is the cost of the placed requests: a prompt token counts once, a
+	// generated token twice.
 	Tokens berylspoke.Tokens
 }
 
-// Result is what a run measured.
+// Result holds the measurements of a run.
 type Result struct {
 	Organisations []Tally
 	Kinds         []Tally
-	// Read and ReadAgain are the prompt tokens read, and those of them that some
-	// engine had used shortly before.
-	Read, ReadAgain berylspoke.Tokens
-	// Expected and Seen are, for each request let in, the milliseconds to the
-	// first token that the gate expected and that the engine took.
-	Expected, Seen []float64
+	// Prefilled and Recomputed are the sums of the engines' counters of these names.
+	Prefilled, Recomputed berylspoke.Tokens
+	// ExpectedMillis and ActualMillis hold the time to the first event of each request
+	// that started: as expected by the gate, and as it was.
+	ExpectedMillis, ActualMillis []float64
 }
 
-// event is something that happens at a time of the run.
+// event is a function to call at a time of the run; sequence orders events of the same
+// time.
 type event struct {
-	at    time.Time
-	order int
-	run   func(now time.Time)
+	at       time.Time
+	sequence int
+	run      func(now time.Time)
 }
 
+// events is a priority queue of events; it implements heap.Interface.
 type events []event
 
 func (events events) Len() int { return len(events) }
 func (events events) Less(i, j int) bool {
 	if events[i].at.Equal(events[j].at) {
-		return events[i].order < events[j].order
+		return events[i].sequence < events[j].sequence
 	}
 	return events[i].at.Before(events[j].at)
 }
@@ -90,30 +93,31 @@
 	return last
 }
 
-// fleet is one run.
+// fleet is the state of one run.
 type fleet struct {
 	options FleetOptions
 	load    LoadOptions
 	gates   []*berylgate.Gate
 	engines map[berylspoke.TargetID]*Engine
 	ids     []berylspoke.TargetID
-	own     []map[berylspoke.TargetID]int
-	events  events
-	order   int
-	result  Result
+	// inFlight counts the unfinished requests by entry daemon and engine.
+	inFlight []map[berylspoke.TargetID]int
+	events   events
+	sequence int
+	result   Result
 }
 
 const modelService berylspoke.ServiceID = "drafts"
 
-// Run plays a load on a fleet.
+// Run simulates a load on a fleet.
 func Run(options FleetOptions, load LoadOptions) Result {
 	fleet := newFleet(options, load)
 	start := time.Unix(0, 0)
-	for _, arrival := range Load(load, options.Entries) {
-		fleet.at(start.Add(arrival.At), func(now time.Time) { fleet.arrive(now, arrival) })
+	for _, arrival := range Arrivals(load, options.Entries) {
+		fleet.schedule(start.Add(arrival.At), func(now time.Time) { fleet.submit(now, arrival) })
 	}
 	for entry := range fleet.gates {
-		fleet.at(start.Add(time.Duration(entry)*options.ReportEvery/time.Duration(options.Entries)), func(now time.Time) { fleet.report(now, entry) })
+		fleet.schedule(start.Add(time.Duration(entry)*options.ReportInterval/time.Duration(options.Entries)), func(now time.Time) { fleet.report(now, entry) })
 	}
 	end := start.Add(load.Length)
 	for fleet.events.Len() > 0 {
@@ -124,8 +128,8 @@
 		next.run(next.at)
 	}
 	for _, engine := range fleet.engines {
-		fleet.result.Read += engine.Read
-		fleet.result.ReadAgain += engine.ReadAgain
+		fleet.result.Prefilled += engine.Prefilled
+		fleet.result.Recomputed += engine.Recomputed
 	}
 	return fleet.result
 }
@@ -136,18 +140,18 @@
 		result: Result{Organisations: make([]Tally, load.Organisations), Kinds: make([]Tally, len(load.Kinds))},
 	}
 	now := time.Unix(0, 0)
-	uses := make(Uses)
+	lastUses := make(LastUses)
 	var targets []berylspoke.Target
 	for i := range options.Engines {
 		id := berylspoke.TargetID(fmt.Sprintf("engine-%d", i))
 		fleet.ids = append(fleet.ids, id)
-		fleet.engines[id] = NewEngine(options.Engine, uses)
+		fleet.engines[id] = NewEngine(options.Engine, lastUses)
 		targets = append(targets, berylspoke.Target{ID: id, Service: modelService, Address: string(id), FailureDomain: "a", Slots: options.Engine.Slots})
 	}
 	catalog := &berylspoke.Catalog{
 		Services: map[berylspoke.ServiceID]berylspoke.Service{modelService: {
 			ID: modelService, MaxConnections: 1000,
-			Engine: &berylspoke.EngineSpec{Slots: options.Engine.Slots, Memory: options.Engine.Memory},
+			Engine: &berylspoke.EngineSpec{Slots: options.Engine.Slots, Memory: options.Engine.CacheCapacity},
 		}},
 		Limits: berylspoke.Limits{TokensPerSecond: options.TokensPerSecond},
 	}
@@ -160,25 +164,26 @@
 		gate.SetCatalog(now, catalog)
 		gate.SetTargets(now, targets)
 		fleet.gates = append(fleet.gates, gate)
-		fleet.own = append(fleet.own, make(map[berylspoke.TargetID]int))
+		fleet.inFlight = append(fleet.inFlight, make(map[berylspoke.TargetID]int))
 	}
 	return fleet
 }
 
 func entryName(entry int) berylspoke.VMID { return berylspoke.VMID(fmt.Sprintf("entry-%d", entry)) }
 
-func (fleet *fleet) at(when time.Time, run func(now time.Time)) {
-	fleet.order++
-	heap.Push(&fleet.events, event{when, fleet.order, run})
+// schedule adds an event.
+func (fleet *fleet) schedule(at time.Time, run func(now time.Time)) {
+	fleet.sequence++
+	heap.Push(&fleet.events, event{at, fleet.sequence, run})
 }
 
-// report sends one gate's report to the others.
+// report sends one gate's report to the others and schedules its next one.
 func (fleet *fleet) report(now time.Time, entry int) {
 	gate := fleet.gates[entry]
 	gate.Tick(now)
 	if fleet.options.Policy == Gates {
 		report := gate.Report(now)
-		fleet.at(now.Add(fleet.options.ReportLag), func(now time.Time) {
+		fleet.schedule(now.Add(fleet.options.ReportLatency), func(now time.Time) {
 			for other, peer := range fleet.gates {
 				if other != entry {
 					peer.Heard(now, entryName(entry), report)
@@ -186,95 +191,98 @@
 			}
 		})
 	}
-	fleet.at(now.Add(fleet.options.ReportEvery), func(now time.Time) { fleet.report(now, entry) })
+	fleet.schedule(now.Add(fleet.options.ReportInterval), func(now time.Time) { fleet.report(now, entry) })
 }
 
-// arrive decides on one request.
-func (fleet *fleet) arrive(now time.Time, arrival Arrival) {
+// submit places one request on an engine or rejects it.
+func (fleet *fleet) submit(now time.Time, arrival Arrival) {
 	kind := fleet.load.Kinds[arrival.Kind]
 	tallies := []*Tally{&fleet.result.Organisations[arrival.Organisation], &fleet.result.Kinds[arrival.Kind]}
-	each := func(count func(*Tally)) {
+	updateTallies := func(update func(*Tally)) {
 		for _, tally := range tallies {
-			count(tally)
+			update(tally)
 		}
 	}
-	each(func(tally *Tally) { tally.Asked++ })
+	updateTallies(func(tally *Tally) { tally.Submitted++ })
 	request := &berylgate.Request{
 		Service: modelService, Organisation: OrganisationName(arrival.Organisation), Kind: berylspoke.Streaming,
 		Arrived: now, Objective: kind.Objective, Attempts: 1,
-		Input: arrival.Input, Output: arrival.Output, Parts: arrival.Parts,
+		Input: arrival.Input, Output: arrival.Output, Parts: arrival.Segments,
 	}
 	gate := fleet.gates[arrival.Entry]
-	target, expected, taken := fleet.decide(now, arrival, gate, request)
-	if !taken {
-		each(func(tally *Tally) { tally.Refused++ })
+	target, expected, placed := fleet.place(now, arrival, gate, request)
+	if !placed {
+		updateTallies(func(tally *Tally) { tally.Rejected++ })
 		return
 	}
-	each(func(tally *Tally) { tally.Tokens += arrival.Input + 2*arrival.Output })
+	updateTallies(func(tally *Tally) { tally.Tokens += arrival.Input + 2*arrival.Output })
 	engine := fleet.engines[target]
-	job := &Job{Input: arrival.Input, Output: arrival.Output, Parts: arrival.Parts}
-	job.Began = func(began time.Time) {
-		seen := began.Sub(now)
-		fleet.result.Expected = append(fleet.result.Expected, float64(expected.Milliseconds()))
-		fleet.result.Seen = append(fleet.result.Seen, float64(seen.Milliseconds()))
-		each(func(tally *Tally) {
-			if seen <= kind.Objective {
+	job := &Job{Input: arrival.Input, Output: arrival.Output, Segments: arrival.Segments}
+	job.Started = func(started time.Time) {
+		actual := started.Sub(now)
+		fleet.result.ExpectedMillis = append(fleet.result.ExpectedMillis, float64(expected.Milliseconds()))
+		fleet.result.ActualMillis = append(fleet.result.ActualMillis, float64(actual.Milliseconds()))
+		updateTallies(func(tally *Tally) {
+			if actual <= kind.Objective {
 				tally.InTime++
 			} else {
 				tally.Late++
 			}
 		})
 		load := engine.Load()
-		fleet.at(began, func(now time.Time) { gate.Began(now, request, &load) })
+		fleet.schedule(started, func(now time.Time) { gate.Began(now, request, &load) })
 	}
 	job.Ended = func(ended time.Time) {
-		fleet.at(ended, func(now time.Time) {
-			fleet.own[arrival.Entry][target]--
+		fleet.schedule(ended, func(now time.Time) {
+			fleet.inFlight[arrival.Entry][target]--
 			gate.Ended(now, request, berylgate.Succeeded)
 		})
 	}
 	if !engine.Admit(now, job) {
-		each(func(tally *Tally) { tally.Refused++ })
-		fleet.own[arrival.Entry][target]--
+		updateTallies(func(tally *Tally) { tally.Rejected++ })
+		fleet.inFlight[arrival.Entry][target]--
 		gate.Ended(now, request, berylgate.Turned)
 		return
 	}
-	fleet.work(now, engine)
+	fleet.runSteps(now, engine)
 }
 
-func (fleet *fleet) decide(now time.Time, arrival Arrival, gate *berylgate.Gate, request *berylgate.Request) (berylspoke.TargetID, time.Duration, bool) {
-	own := fleet.own[arrival.Entry]
+// place chooses the engine of a request by the fleet's policy. It returns the expected
+// time to the first token, zero if the policy has no estimate, and false if the request
+// is rejected.
+func (fleet *fleet) place(now time.Time, arrival Arrival, gate *berylgate.Gate, request *berylgate.Request) (berylspoke.TargetID, time.Duration, bool) {
+	inFlight := fleet.inFlight[arrival.Entry]
 	if fleet.options.Policy == LeastRunning {
 		best := fleet.ids[0]
 		for _, id := range fleet.ids {
-			if own[id] < own[best] {
+			if inFlight[id] < inFlight[best] {
 				best = id
 			}
 		}
-		own[best]++
+		inFlight[best]++
 		return best, 0, true
 	}
 	decision := gate.Submit(now, request)
 	if decision.Refusal != nil {
 		return "", 0, false
 	}
-	own[decision.Target.ID]++
+	inFlight[decision.Target.ID]++
 	return decision.Target.ID, decision.Expected, true
 }
 
-// work runs an engine's steps until it has nothing to do.
-func (fleet *fleet) work(now time.Time, engine *Engine) {
-	if engine.Busy {
+// runSteps runs an engine's steps until it has nothing to do.
+func (fleet *fleet) runSteps(now time.Time, engine *Engine) {
+	if engine.Stepping {
 		return
 	}
-	length := engine.Step(now)
-	if length == 0 {
+	duration := engine.StartStep(now)
+	if duration == 0 {
 		return
 	}
-	engine.Busy = true
-	fleet.at(now.Add(length), func(now time.Time) {
-		engine.Finish(now)
-		engine.Busy = false
-		fleet.work(now, engine)
+	engine.Stepping = true
+	fleet.schedule(now.Add(duration), func(now time.Time) {
+		engine.FinishStep(now)
+		engine.Stepping = false
+		fleet.runSteps(now, engine)
 	})
 }
