--- a/core/berylslot/assign.go
+++ b/core/berylslot/assign.go
@@ -1,6 +1,6 @@
 package berylslot
 
-// This file defines how a keeper assigns slots to the lowest tags.
+// This file defines how a lessor assigns slots to the lowest tags.
 
 import (
 	"sort"
@@ -10,34 +10,34 @@
 )
 
 // Assign grants free slots and returns the leases to send.
-func (keeper *Keeper) Assign(now time.Time) []Addressed {
-	for vm, holder := range keeper.holders {
-		if now.Sub(holder.heard) > keeper.options.Silence {
-			delete(keeper.holders, vm)
+func (lessor *Keeper) Assign(now time.Time) []AddressedLease {
+	for vm, holder := range lessor.holders {
+		if now.Sub(holder.lastReceived) > lessor.options.HolderTimeout {
+			delete(lessor.holders, vm)
 		}
 	}
-	free := keeper.free(now)
-	unmet := keeper.grantWaiting(free)
+	free := lessor.free(now)
+	unmet := lessor.grantWaiting(free)
 	contended := unmet > 0
 	if contended {
-		keeper.unmet = now
-		keeper.recall()
+		lessor.lastUnmet = now
+		lessor.recall()
 	} else {
-		keeper.grantSpare(free)
+		lessor.grantSpare(free)
 	}
-	return keeper.leases(now, contended)
+	return lessor.leases(now, contended)
 }
 
-// free returns the free slots of each target. A keeper that just took a target
-// over has not heard yet from every entry that runs requests there; until a
-// heartbeat round has passed, it grants half.
-func (keeper *Keeper) free(now time.Time) map[berylspoke.TargetID]int {
-	free := make(map[berylspoke.TargetID]int, len(keeper.limiters))
-	for target, limiter := range keeper.limiters {
-		out := keeper.out(target)
-		limiter.Use(now, out)
+// free returns the free slots of each target. A lessor that has just taken a target over
+// has not yet received the demand of every entry daemon that runs requests there, so it
+// grants only half the limit for takeoverPeriod.
+func (lessor *Keeper) free(now time.Time) map[berylspoke.TargetID]int {
+	free := make(map[berylspoke.TargetID]int, len(lessor.limiters))
+	for target, limiter := range lessor.limiters {
+		out := lessor.outstanding(target)
+		limiter.RecordUse(now, out)
 		limit := limiter.Limit()
-		if now.Sub(keeper.since) < takeoverTime {
+		if now.Sub(lessor.takenOver) < takeoverPeriod {
 			limit /= 2
 		}
 		free[target] = limit - out
@@ -45,27 +45,28 @@
 	return free
 }
 
-// wantedFor is how long a want of slots counts; a few load reports fit in it.
-const wantedFor = 5 * time.Second
+// unmetWindow is how long an unmet request counts as a backlog; it spans a few load
+// reports.
+const unmetWindow = 5 * time.Second
 
-// takeoverTime is the time within which every entry that holds slots has asked
-// a new keeper.
-const takeoverTime = time.Second
+// takeoverPeriod is the time, one round of heartbeats, within which every entry daemon
+// that holds slots has sent its demand to a new lessor.
+const takeoverPeriod = time.Second
 
-// ordered returns the holders by VM, so that a run can be repeated.
-func (keeper *Keeper) ordered() []*holder {
-	holders := make([]*holder, 0, len(keeper.holders))
-	for _, holder := range keeper.holders {
+// sortedHolders returns the holders by VM, so that a run is reproducible.
+func (lessor *Keeper) sortedHolders() []*holderState {
+	holders := make([]*holderState, 0, len(lessor.holders))
+	for _, holder := range lessor.holders {
 		holders = append(holders, holder)
 	}
 	sort.Slice(holders, func(i, j int) bool { return holders[i].process.VM < holders[j].process.VM })
 	return holders
 }
 
-// grantWaiting gives free slots to the lowest tags and returns the number of
-// waiting requests left without one.
-func (keeper *Keeper) grantWaiting(free map[berylspoke.TargetID]int) int {
-	holders := keeper.ordered()
+// grantWaiting grants free slots to the lowest tags and returns the number of waiting
+// requests that got none.
+func (lessor *Keeper) grantWaiting(free map[berylspoke.TargetID]int) int {
+	holders := lessor.sortedHolders()
 	met := make([]int, len(holders))
 	unmet := 0
 	for i, holder := range holders {
@@ -73,15 +74,15 @@
 		unmet += holder.waiting - met[i]
 	}
 	for unmet > 0 {
-		target, ok := freest(free)
+		target, ok := mostFree(free)
 		if !ok {
 			break
 		}
-		next := keeper.next(holders, met)
-		slots := holders[next].slots(target)
+		next := lessor.next(holders, met)
+		slots := holders[next].slotsOn(target)
 		slots.granted++
 		slots.peak = max(slots.peak, slots.granted)
-		holders[next].change()
+		holders[next].markChanged()
 		met[next]++
 		free[target]--
 		unmet--
@@ -89,28 +90,28 @@
 	return unmet
 }
 
-// next returns the holder whose next unmet request has the lowest tag; the
-// baseline takes the holders in turn.
-func (keeper *Keeper) next(holders []*holder, met []int) int {
+// next returns the holder whose next unmet request has the lowest tag; with IgnoreTags it
+// takes the holders in turn.
+func (lessor *Keeper) next(holders []*holderState, met []int) int {
 	best := -1
-	keeper.turn++
+	lessor.rotation++
 	for i := range holders {
 		at := i
-		if keeper.options.IgnoreTags {
-			at = (i + keeper.turn) % len(holders)
+		if lessor.options.IgnoreTags {
+			at = (i + lessor.rotation) % len(holders)
 		}
 		if met[at] >= holders[at].waiting {
 			continue
 		}
-		if best < 0 || !keeper.options.IgnoreTags && holders[at].tag(met[at]) < holders[best].tag(met[best]) {
+		if best < 0 || !lessor.options.IgnoreTags && holders[at].tag(met[at]) < holders[best].tag(met[best]) {
 			best = at
 		}
 	}
 	return best
 }
 
-// freest returns the target with the most free slots.
-func freest(free map[berylspoke.TargetID]int) (berylspoke.TargetID, bool) {
+// mostFree returns the target with the most free slots.
+func mostFree(free map[berylspoke.TargetID]int) (berylspoke.TargetID, bool) {
 	var best berylspoke.TargetID
 	for target, count := range free {
 		if count > 0 && (best == "" || count > free[best] || count == free[best] && target < best) {
@@ -120,85 +121,85 @@
 	return best, best != ""
 }
 
-// recall takes back idle slots of entries that have nothing waiting for them.
-func (keeper *Keeper) recall() {
-	for _, holder := range keeper.holders {
+// recall takes back the idle slots of holders that have no waiting request for them.
+func (lessor *Keeper) recall() {
+	for _, holder := range lessor.holders {
 		surplus := holder.idle() - holder.waiting
 		for _, slots := range holder.targets {
 			back := min(surplus, slots.granted-slots.used)
 			if back > 0 {
 				slots.granted -= back
 				surplus -= back
-				holder.change()
+				holder.markChanged()
 			}
 		}
 	}
 }
 
-// grantSpare lets active entries hold idle slots while nobody waits.
-func (keeper *Keeper) grantSpare(free map[berylspoke.TargetID]int) {
-	holders := keeper.ordered()
+// grantSpare grants spare slots to holders without idle ones while no request waits.
+func (lessor *Keeper) grantSpare(free map[berylspoke.TargetID]int) {
+	holders := lessor.sortedHolders()
 	for _, holder := range holders {
 		if holder.idle() > 0 {
 			continue
 		}
-		for count := 0; count < keeper.options.Spare; count++ {
-			target, ok := freest(free)
+		for count := 0; count < lessor.options.SpareSlots; count++ {
+			target, ok := mostFree(free)
 			if !ok || free[target] <= len(holders) {
 				return
 			}
-			slots := holder.slots(target)
+			slots := holder.slotsOn(target)
 			slots.granted++
 			slots.peak = max(slots.peak, slots.granted)
 			free[target]--
-			holder.change()
+			holder.markChanged()
 		}
 	}
 }
 
-// Addressed is a lease and the VM of the entry it is for; one that only renews
-// is not urgent.
-type Addressed struct {
+// AddressedLease is a lease and the VM of the entry daemon that receives it; one that
+// only renews is not urgent.
+type AddressedLease struct {
 	To     berylspoke.VMID
 	Urgent bool
 	Lease  Lease
 }
 
-// leases returns the leases to send: changed grants, a change of contention,
-// or a threshold that fell below the one told.
-func (keeper *Keeper) leases(now time.Time, contended bool) []Addressed {
-	var leases []Addressed
-	holders := keeper.ordered()
+// leases returns the leases to send: to holders that are due one, whose contention
+// changed, or whose threshold fell below the one last sent.
+func (lessor *Keeper) leases(now time.Time, contended bool) []AddressedLease {
+	var leases []AddressedLease
+	holders := lessor.sortedHolders()
 	for i, holder := range holders {
-		threshold := keeper.threshold(holders, i)
-		stale := contended && threshold < holder.last.Threshold-keeper.options.Slack
-		if !holder.dirty && contended == holder.last.Contended && !stale {
+		threshold := lessor.threshold(holders, i)
+		thresholdFell := contended && threshold < holder.lastLease.Threshold-lessor.options.Slack
+		if !holder.dirty && contended == holder.lastLease.Contended && !thresholdFell {
 			continue
 		}
-		keeper.sequence++
-		holder.sequence = keeper.sequence
+		lessor.sequence++
+		holder.leaseSequence = lessor.sequence
 		holder.dirty = false
-		holder.sent = now
+		holder.lastSent = now
 		lease := Lease{
-			From: keeper.self, Service: keeper.service,
-			Sequence: holder.sequence, Answers: holder.asked,
-			Contended: contended, Threshold: threshold, Time: keeper.time,
+			From: lessor.self, Service: lessor.service,
+			Sequence: holder.leaseSequence, Answers: holder.demandSequence,
+			Contended: contended, Threshold: threshold, Time: lessor.virtualTime,
 		}
 		for target, slots := range holder.targets {
 			lease.Grants = append(lease.Grants, Grant{target, slots.granted})
 		}
 		sort.Slice(lease.Grants, func(i, j int) bool { return lease.Grants[i].Target < lease.Grants[j].Target })
-		urgent := holder.changed || contended != holder.last.Contended || stale
+		urgent := holder.changed || contended != holder.lastLease.Contended || thresholdFell
 		holder.changed = false
-		holder.last = lease
-		leases = append(leases, Addressed{holder.process.VM, urgent, lease})
+		holder.lastLease = lease
+		leases = append(leases, AddressedLease{holder.process.VM, urgent, lease})
 	}
 	return leases
 }
 
-// threshold is the tag up to which a holder may reuse a freed slot: the lowest
-// unmet tag of the other holders, plus the slack.
-func (keeper *Keeper) threshold(holders []*holder, self int) berylspoke.Tag {
+// threshold returns the tag up to which a holder may reuse a freed slot: the lowest unmet
+// tag of the other holders, plus the slack.
+func (lessor *Keeper) threshold(holders []*holderState, self int) berylspoke.Tag {
 	lowest := noThreshold
 	for i, holder := range holders {
 		idle := holder.idle()
@@ -209,7 +210,7 @@
 	if lowest == noThreshold {
 		return lowest
 	}
-	return lowest + keeper.options.Slack
+	return lowest + lessor.options.Slack
 }
 
 // noThreshold lets every tag reuse a slot.
--- a/core/berylslot/doc.go
+++ b/core/berylslot/doc.go
@@ -1,18 +1,18 @@
-// Package berylslot leases the concurrency of targets to entries.
+// Package berylslot leases the concurrency of targets to entry daemons.
 //
-// The model: engines know no priorities, so requests wait in the fleet and an
-// engine is kept just full. For each target one daemon, its keeper, decides how
-// many requests may run there and leases that number in slots to entries. An
-// entry states its whole view to a keeper in an Ask: how many requests wait, the
-// tags of the first few, and what it holds. The keeper states what the entry
-// may hold in a Lease. Both are absolute and numbered, so that loss, repetition
-// and reordering only delay.
+// Engines know no priorities, so requests queue in the fleet and each engine is kept just
+// full. For each target one daemon, its lessor, decides how many requests may run there
+// and leases that many slots to entry daemons. An entry daemon reports its demand to a
+// lessor: the number of waiting requests, the tags of the first few, and the slots that
+// it holds. The lessor answers with a lease, the number of slots that the entry daemon
+// may hold. Both messages carry absolute state and a sequence number, so loss,
+// duplication and reordering only cause delay.
 //
-// While capacity is free, entries hold idle slots and start requests without a
-// round trip. Under contention idle slots are recalled, and an entry whose
-// request ends reuses the slot without asking as long as its next tag is within
-// the threshold that the keeper last told it; otherwise it returns the slot.
+// While capacity is free, entry daemons hold idle slots and start requests without a
+// round trip. Under contention the lessor recalls idle slots. An entry daemon whose
+// request ends then reuses the slot without a round trip if its next tag is within the
+// threshold of the last lease, and returns the slot otherwise.
 //
-// A Keeper is the leasing side, a Holder the side of one entry, and a Limiter
-// finds how many requests a target takes.
+// Each side has its own state: the lessor's, with a Limiter per target that finds how
+// many requests the target can run, and the Holder of an entry daemon.
 package berylslot
--- a/core/berylslot/dump.go
+++ b/core/berylslot/dump.go
@@ -1,6 +1,6 @@
 package berylslot
 
-// This file defines what the dump shows of leases.
+// This file defines the state of leases as dumped.
 
 import (
 	"sort"
@@ -8,17 +8,17 @@
 	"berylspoke"
 )
 
-// Slot is the state of one target for the dump.
+// Slot is the dumped state of the slots of one target.
 type Slot struct {
-	Target  berylspoke.TargetID `json:"target"`
-	Limit   int                 `json:"limit"`
-	Foreign int                 `json:"foreign"`
-	Out     int                 `json:"out"`
-	Leased  []Leased            `json:"leased"`
+	Target      berylspoke.TargetID `json:"target"`
+	Limit       int                 `json:"limit"`
+	Foreign     int                 `json:"foreign"`
+	Outstanding int                 `json:"out"`
+	Leases      []HolderLease       `json:"leased"`
 }
 
-// Leased is what one entry has of a target, as its keeper knows it.
-type Leased struct {
+// HolderLease is what one entry daemon holds of a target, as the lessor knows it.
+type HolderLease struct {
 	Entry     berylspoke.VMID `json:"entry"`
 	Granted   int             `json:"granted"`
 	Used      int             `json:"used"`
@@ -28,48 +28,48 @@
 	Threshold berylspoke.Tag  `json:"threshold"`
 }
 
-// Slots lists the targets kept.
-func (keeper *Keeper) Slots() []Slot {
+// Slots lists the state of the targets leased here.
+func (lessor *Keeper) Slots() []Slot {
 	var list []Slot
-	for _, target := range keeper.Targets() {
-		limiter := keeper.limiters[target]
-		list = append(list, Slot{target, limiter.limit, limiter.foreign, keeper.out(target), keeper.leased(target)})
+	for _, target := range lessor.Targets() {
+		limiter := lessor.limiters[target]
+		list = append(list, Slot{target, limiter.limit, limiter.foreign, lessor.outstanding(target), lessor.holderLeases(target)})
 	}
 	return list
 }
 
-func (keeper *Keeper) leased(target berylspoke.TargetID) []Leased {
-	var list []Leased
-	for _, holder := range keeper.ordered() {
+func (lessor *Keeper) holderLeases(target berylspoke.TargetID) []HolderLease {
+	var list []HolderLease
+	for _, holder := range lessor.sortedHolders() {
 		if slots := holder.targets[target]; slots != nil {
-			list = append(list, Leased{
+			list = append(list, HolderLease{
 				Entry: holder.process.VM, Granted: slots.granted, Used: slots.used,
 				Confirmed: slots.peak == slots.granted && slots.held == slots.granted,
-				Waiting:   holder.waiting, Tag: holder.tag(0), Threshold: holder.last.Threshold,
+				Waiting:   holder.waiting, Tag: holder.tag(0), Threshold: holder.lastLease.Threshold,
 			})
 		}
 	}
 	return list
 }
 
-// HeldSlot is the state of one target's slots for the dump.
+// HeldSlot is the dumped number of slots held on one target.
 type HeldSlot struct {
-	Keeper berylspoke.VMID     `json:"keeper"`
+	Lessor berylspoke.VMID     `json:"keeper"`
 	Target berylspoke.TargetID `json:"target"`
 	Held   int                 `json:"held"`
 	Used   int                 `json:"used"`
 }
 
-// Held lists the slots held.
+// Held lists the slots held, by target and lessor.
 func (holder *Holder) Held() []HeldSlot {
 	var list []HeldSlot
-	for vm, view := range holder.keepers {
+	for vm, view := range holder.lessors {
 		for target, held := range view.targets {
 			list = append(list, HeldSlot{vm, target, held.held, held.used})
 		}
 	}
 	sort.Slice(list, func(i, j int) bool {
-		return list[i].Target < list[j].Target || list[i].Target == list[j].Target && list[i].Keeper < list[j].Keeper
+		return list[i].Target < list[j].Target || list[i].Target == list[j].Target && list[i].Lessor < list[j].Lessor
 	})
 	return list
 }
--- a/core/berylslot/holder.go
+++ b/core/berylslot/holder.go
@@ -1,6 +1,6 @@
 package berylslot
 
-// This file defines the entry's side of leases.
+// This file defines the entry daemon's side of leases.
 
 import (
 	"sort"
@@ -10,92 +10,95 @@
 )
 
 const (
-	// LeaseLife is the time an entry starts requests on a lease after it sent
-	// the ask that the lease answers.
-	LeaseLife = 12 * time.Second
-	// refreshAfter is the time after which an entry in use renews its leases.
-	refreshAfter = 4 * time.Second
-	// retellAfter is the time after which an entry with a backlog tells its
+	// LeaseDuration is how long an entry daemon starts requests on a lease, counted from
+	// when it sent the demand that the lease answers.
+	LeaseDuration = 12 * time.Second
+	// renewAfter is the time after which an entry daemon that uses slots renews its
+	// leases.
+	renewAfter = 4 * time.Second
+	// resendTagsAfter is the time after which an entry daemon with a backlog sends its
 	// tags again.
-	retellAfter = 3 * time.Second
-	// repeatAfter is the time after which an entry without idle slots asks for
+	resendTagsAfter = 3 * time.Second
+	// replenishAfter is the time after which an entry daemon without idle slots requests
 	// some in advance.
-	repeatAfter = 250 * time.Millisecond
-	// overtakeAfter bounds how often a lower first tag is told.
-	overtakeAfter = 50 * time.Millisecond
-	// askTags is the number of waiting requests an ask describes.
-	askTags = 8
-	// activeFor is the time after its last request that an entry keeps leases.
-	activeFor = 10 * time.Second
+	replenishAfter = 250 * time.Millisecond
+	// lowerTagInterval is the minimum time between demands that report a lower first tag.
+	lowerTagInterval = 50 * time.Millisecond
+	// maxDemandTags is the number of waiting requests that a demand describes.
+	maxDemandTags = 8
+	// activeWindow is the time after its last request for which an entry daemon renews
+	// idle leases.
+	activeWindow = 10 * time.Second
 )
 
-// holding is what this entry holds and uses of one target.
+// holding is the number of slots of one target that this entry daemon holds and uses.
 type holding struct {
-	held, used int
-	pace       time.Duration
+	held, used    int
+	tokenInterval time.Duration
 }
 
-// keeperView is one keeper as this entry knows it.
-type keeperView struct {
-	process   berylspoke.Process
-	sequence  uint32
-	applied   uint32
-	answered  uint32
-	sentAt    [8]time.Time
-	lastSent  time.Time
-	valid     time.Time
-	contended bool
-	threshold berylspoke.Tag
-	// margin is how much lower than the others' a tag must be here.
-	margin berylspoke.Tag
-	time   berylspoke.Tag
-	// started is the highest tag started on this keeper's targets.
-	started berylspoke.Tag
-	granted time.Time
-	targets map[berylspoke.TargetID]*holding
-	dirty   bool
-	// told and toldHead are what the last ask said of the queue.
-	told     int
-	toldHead berylspoke.Tag
+// lessorView is one lessor as this entry daemon knows it.
+type lessorView struct {
+	process        berylspoke.Process
+	demandSequence uint32
+	applied        uint32
+	acknowledged   uint32
+	sentAt         [8]time.Time
+	lastSent       time.Time
+	validUntil     time.Time
+	contended      bool
+	threshold      berylspoke.Tag
+	// margin is how much lower than the tags of others a tag must be at this lessor.
+	margin      berylspoke.Tag
+	virtualTime berylspoke.Tag
+	// maxStarted is the highest tag started on this lessor's targets.
+	maxStarted berylspoke.Tag
+	lastStart  time.Time
+	targets    map[berylspoke.TargetID]*holding
+	dirty      bool
+	// reportedWaiting and reportedHead are the number of waiting requests and the first
+	// tag in the last demand.
+	reportedWaiting int
+	reportedHead    berylspoke.Tag
 }
 
-// Holder holds the leases of one entry for one service.
+// Holder holds the leases of one entry daemon for one service.
 type Holder struct {
-	self    berylspoke.Process
-	service berylspoke.ServiceID
-	keepers map[berylspoke.VMID]*keeperView
-	active  time.Time
-	uses    Uses
+	self       berylspoke.Process
+	service    berylspoke.ServiceID
+	lessors    map[berylspoke.VMID]*lessorView
+	lastActive time.Time
+	uses       Uses
 }
 
-// Uses counts what became of slots: freed and reused here, freed and returned,
-// or granted and returned unused because the next tag was above the threshold.
+// Uses counts freed slots that were reused here, freed slots that were returned, and
+// granted slots that were returned unused because the next tag was above the threshold.
 type Uses struct {
 	Reused   uint64 `json:"reused"`
 	Returned uint64 `json:"returned"`
-	Refused  uint64 `json:"refused"`
+	Unused   uint64 `json:"refused"`
 }
 
-// Uses returns what became of slots so far.
+// Uses returns the counts so far.
 func (holder *Holder) Uses() Uses { return holder.uses }
 
 // NewHolder returns a holder without leases.
 func NewHolder(self berylspoke.Process, service berylspoke.ServiceID) *Holder {
-	return &Holder{self: self, service: service, keepers: make(map[berylspoke.VMID]*keeperView)}
+	return &Holder{self: self, service: service, lessors: make(map[berylspoke.VMID]*lessorView)}
 }
 
-func (holder *Holder) keeper(vm berylspoke.VMID) *keeperView {
-	view := holder.keepers[vm]
+func (holder *Holder) lessor(vm berylspoke.VMID) *lessorView {
+	view := holder.lessors[vm]
 	if view == nil {
-		view = &keeperView{targets: make(map[berylspoke.TargetID]*holding)}
-		holder.keepers[vm] = view
+		view = &lessorView{targets: make(map[berylspoke.TargetID]*holding)}
+		holder.lessors[vm] = view
 	}
 	return view
 }
 
-// Take applies a lease; one overtaken by a newer one is dropped.
+// Take applies a lease; one older than the last applied is dropped.
 func (holder *Holder) Take(lease Lease) {
-	view := holder.keepers[lease.From.VM]
+	view := holder.lessors[lease.From.VM]
 	if view == nil {
 		return
 	}
@@ -103,64 +106,63 @@
 		if lease.From.Incarnation < view.process.Incarnation {
 			return
 		}
-		view.process, view.applied, view.answered = lease.From, 0, 0
-		view.valid = time.Time{}
+		view.process, view.applied, view.acknowledged = lease.From, 0, 0
+		view.validUntil = time.Time{}
 	}
 	if lease.Sequence <= view.applied {
 		return
 	}
 	view.applied = lease.Sequence
-	view.contended, view.threshold, view.time = lease.Contended, lease.Threshold, lease.Time
-	if lease.Answers > view.answered && lease.Answers <= view.sequence {
-		view.answered = lease.Answers
-		if view.sequence-lease.Answers < uint32(len(view.sentAt)) {
-			view.valid = view.sentAt[lease.Answers%uint32(len(view.sentAt))].Add(LeaseLife)
+	view.contended, view.threshold, view.virtualTime = lease.Contended, lease.Threshold, lease.Time
+	if lease.Answers > view.acknowledged && lease.Answers <= view.demandSequence {
+		view.acknowledged = lease.Answers
+		if view.demandSequence-lease.Answers < uint32(len(view.sentAt)) {
+			view.validUntil = view.sentAt[lease.Answers%uint32(len(view.sentAt))].Add(LeaseDuration)
 		}
 	}
-	named := make(map[berylspoke.TargetID]bool, len(lease.Grants))
+	granted := make(map[berylspoke.TargetID]bool, len(lease.Grants))
 	for _, grant := range lease.Grants {
-		named[grant.Target] = true
+		granted[grant.Target] = true
 		held := view.targets[grant.Target]
 		if held == nil {
 			held = new(holding)
 			view.targets[grant.Target] = held
 		}
 		if grant.Slots < held.held {
-			// A recall waits for this confirmation before others get the slot.
+			// The lessor grants a recalled slot to others only after this confirmation.
 			view.dirty = true
 		}
 		held.held = max(grant.Slots, held.used)
 	}
 	for target, held := range view.targets {
-		if !named[target] {
+		if !granted[target] {
 			held.held = held.used
 		}
 	}
 }
 
-// Place is a target together with the keeper that leased it.
+// Place is a target together with the lessor that leased it.
 type Place struct {
 	Keeper berylspoke.VMID
 	Target berylspoke.TargetID
 }
 
-// Free lists the places where a request of the given tag may start now, the
-// ones with the most idle slots first. The life of a lease counts from the
-// sending of the ask it answers: an entry that was paused wakes up with leases
-// that its keeper may have given to others, and must find them expired.
+// Free lists the places where a request of the given tag may start now, those with the
+// most idle slots first. A lease is valid from the sending of the demand that it answers:
+// an entry daemon that was paused resumes with leases whose slots its lessor may have
+// granted to others, and must see them as expired.
 //
-// Under contention a slot is only for tags within the keeper's threshold.
-// Several keepers see the same low tag and each grants it a slot; without this
-// check an organisation that lags by one request would start one for each
-// keeper.
+// Under contention a slot is only for tags within the lessor's threshold. Several lessors
+// see the same low tag and each grants it a slot; without this check an organisation that
+// lags by one request would start one per lessor.
 func (holder *Holder) Free(now time.Time, tag berylspoke.Tag) []Place {
 	type candidate struct {
 		place Place
 		idle  int
 	}
 	var candidates []candidate
-	for vm, view := range holder.keepers {
-		if now.After(view.valid) || !view.admits(tag) {
+	for vm, view := range holder.lessors {
+		if now.After(view.validUntil) || !view.admits(tag) {
 			continue
 		}
 		for target, held := range view.targets {
@@ -180,25 +182,25 @@
 	return places
 }
 
-// admits says whether a request of the tag may use this keeper's slots.
-func (view *keeperView) admits(tag berylspoke.Tag) bool {
+// admits reports whether a request of the tag may use this lessor's slots.
+func (view *lessorView) admits(tag berylspoke.Tag) bool {
 	return !view.contended || tag+view.margin <= view.threshold
 }
 
-// Start uses a slot for a request of the given tag.
+// Start takes a slot for a request of the given tag.
 func (holder *Holder) Start(now time.Time, place Place, tag berylspoke.Tag) {
-	view := holder.keepers[place.Keeper]
+	view := holder.lessors[place.Keeper]
 	view.targets[place.Target].used++
-	view.granted = now
-	view.started = max(view.started, tag)
-	holder.active = now
+	view.lastStart = now
+	view.maxStarted = max(view.maxStarted, tag)
+	holder.lastActive = now
 }
 
-// Finish ends the use of a slot. The slot is kept if nobody is waiting
-// elsewhere or if the next request here, of tag next, is within the threshold;
-// otherwise it goes back at once.
+// Finish frees a slot. If the lease is valid, the slot is kept unless there is contention
+// and no request here is within the threshold; the next one has the tag next. Otherwise
+// it is returned at once.
 func (holder *Holder) Finish(now time.Time, place Place, next berylspoke.Tag, waiting bool) {
-	holder.active = now
+	holder.lastActive = now
 	view, held := holder.find(place)
 	if held == nil {
 		return
@@ -207,7 +209,7 @@
 	if held.held <= held.used {
 		return
 	}
-	if now.After(view.valid) || view.contended && !(waiting && view.admits(next)) {
+	if now.After(view.validUntil) || view.contended && !(waiting && view.admits(next)) {
 		held.held = held.used
 		view.dirty = true
 		holder.uses.Returned++
@@ -216,13 +218,13 @@
 	holder.uses.Reused++
 }
 
-// find returns the slots of a place, which another keeper may have taken over
+// find returns the slots of a place, whose target another lessor may have taken over
 // since the request started.
-func (holder *Holder) find(place Place) (*keeperView, *holding) {
-	if view := holder.keepers[place.Keeper]; view != nil && view.targets[place.Target] != nil {
+func (holder *Holder) find(place Place) (*lessorView, *holding) {
+	if view := holder.lessors[place.Keeper]; view != nil && view.targets[place.Target] != nil {
 		return view, view.targets[place.Target]
 	}
-	for _, view := range holder.keepers {
+	for _, view := range holder.lessors {
 		if held := view.targets[place.Target]; held != nil {
 			return view, held
 		}
@@ -230,10 +232,10 @@
 	return nil, nil
 }
 
-// Move tells the new keeper of a target what still runs there: a keeper that
-// took the target over starts empty and would otherwise lease those slots again.
+// Move reports to the new lessor of a target what still runs there: a lessor that took
+// the target over starts empty and would otherwise lease those slots again.
 func (holder *Holder) Move(target berylspoke.TargetID, to berylspoke.VMID) {
-	for vm, view := range holder.keepers {
+	for vm, view := range holder.lessors {
 		held := view.targets[target]
 		if vm == to || held == nil {
 			continue
@@ -243,38 +245,38 @@
 		if held.used == 0 || to == "" {
 			continue
 		}
-		next := holder.keeper(to)
-		if there := next.targets[target]; there != nil {
-			held.used += there.used
+		successor := holder.lessor(to)
+		if existing := successor.targets[target]; existing != nil {
+			held.used += existing.used
 		}
 		held.held = held.used
-		next.targets[target] = held
-		next.dirty = true
+		successor.targets[target] = held
+		successor.dirty = true
 	}
 }
 
-// Pace notes the time between tokens seen on a target.
-func (holder *Holder) Pace(place Place, pace time.Duration) {
+// Pace averages a time between tokens measured on a target.
+func (holder *Holder) Pace(place Place, interval time.Duration) {
 	_, held := holder.find(place)
-	if held == nil || pace <= 0 {
+	if held == nil || interval <= 0 {
 		return
 	}
-	if held.pace == 0 {
-		held.pace = pace
+	if held.tokenInterval == 0 {
+		held.tokenInterval = interval
 	}
-	held.pace += (pace - held.pace) / 8
+	held.tokenInterval += (interval - held.tokenInterval) / 8
 }
 
-// Release gives back idle slots of contended keepers that the next request
-// here, of tag next, may not use.
+// Release returns the idle slots of contended lessors that no request here may use; the
+// next request, if one is waiting, has the tag next.
 func (holder *Holder) Release(next berylspoke.Tag, waiting bool) {
-	for _, view := range holder.keepers {
+	for _, view := range holder.lessors {
 		if !view.contended || waiting && view.admits(next) {
 			continue
 		}
 		for _, held := range view.targets {
 			if held.held > held.used {
-				holder.uses.Refused += uint64(held.held - held.used)
+				holder.uses.Unused += uint64(held.held - held.used)
 				held.held = held.used
 				view.dirty = true
 			}
@@ -282,87 +284,87 @@
 	}
 }
 
-// Drop forgets a keeper that died; requests running on its targets go on and
-// are told to the next keeper of the target.
+// Drop expires the lease of a lessor that died; requests running on its targets continue
+// and are reported to the next lessor of the target.
 func (holder *Holder) Drop(vm berylspoke.VMID) {
-	if view := holder.keepers[vm]; view != nil {
-		view.valid = time.Time{}
-		view.applied, view.answered = 0, 0
+	if view := holder.lessors[vm]; view != nil {
+		view.validUntil = time.Time{}
+		view.applied, view.acknowledged = 0, 0
 		view.process = berylspoke.Process{}
 	}
 }
 
-// Time returns the virtual time of the pool, the lowest among the given keepers
-// whose lease is valid, and whether there is one. Without a valid lease the time
-// known may be old.
-func (holder *Holder) Time(now time.Time, keepers []berylspoke.VMID) (berylspoke.Tag, bool) {
+// Time returns the virtual time of the service, the lowest among the given lessors whose
+// lease is valid, and whether there is one. Without a valid lease the known time may be
+// old.
+func (holder *Holder) Time(now time.Time, lessors []berylspoke.VMID) (berylspoke.Tag, bool) {
 	lowest, found := berylspoke.Tag(0), false
-	for _, vm := range keepers {
-		view := holder.keepers[vm]
-		if view == nil || now.After(view.valid) || view.time == 0 {
+	for _, vm := range lessors {
+		view := holder.lessors[vm]
+		if view == nil || now.After(view.validUntil) || view.virtualTime == 0 {
 			continue
 		}
-		if time := max(view.time, view.started); !found || time < lowest {
-			lowest, found = time, true
+		if known := max(view.virtualTime, view.maxStarted); !found || known < lowest {
+			lowest, found = known, true
 		}
 	}
 	return lowest, found
 }
 
-// Need is what an entry wants of its keepers at one moment.
+// Need summarises the queue of an entry daemon at one moment.
 type Need struct {
 	Waiting int
 	Tags    []berylspoke.Tag
 	Time    berylspoke.Tag
 }
 
-// Asked are the keepers that an entry asks for slots. Remote ones stand in
-// another region, and their slots are only for requests whose tags are lower by
-// the margin than those that wait there.
+// Asked are the lessors that an entry daemon requests slots from. Remote ones are in
+// another region, and their slots are only for requests whose tags are lower by the
+// margin than those waiting there.
 type Asked struct {
 	Local, Remote []berylspoke.VMID
 	Margin        berylspoke.Tag
 }
 
-// Asks returns the asks due to the keepers; keepers not listed are told to expect
-// nothing, and asked no more.
-func (holder *Holder) Asks(now time.Time, asked Asked, need Need) []AddressedAsk {
-	wanted := make(map[berylspoke.VMID]bool, len(asked.Local)+len(asked.Remote))
-	for _, vm := range asked.Local {
-		wanted[vm] = true
-		holder.keeper(vm).margin = 0
-	}
-	for _, vm := range asked.Remote {
-		wanted[vm] = true
-		holder.keeper(vm).margin = asked.Margin
-	}
-	var asks []AddressedAsk
-	for _, vm := range holder.ordered() {
-		view := holder.keepers[vm]
-		mine := need
-		if !wanted[vm] {
-			mine = Need{Time: need.Time}
-			view.retire()
+// Asks returns the demands to send now. Lessors that are not listed get a demand of zero,
+// and no further ones.
+func (holder *Holder) Asks(now time.Time, lessors Asked, need Need) []AddressedDemand {
+	listed := make(map[berylspoke.VMID]bool, len(lessors.Local)+len(lessors.Remote))
+	for _, vm := range lessors.Local {
+		listed[vm] = true
+		holder.lessor(vm).margin = 0
+	}
+	for _, vm := range lessors.Remote {
+		listed[vm] = true
+		holder.lessor(vm).margin = lessors.Margin
+	}
+	var demands []AddressedDemand
+	for _, vm := range holder.sortedLessors() {
+		view := holder.lessors[vm]
+		effective := need
+		if !listed[vm] {
+			effective = Need{Time: need.Time}
+			view.returnIdle()
 			if view.used() == 0 && now.Sub(view.lastSent) > forgetAfter {
-				delete(holder.keepers, vm)
+				delete(holder.lessors, vm)
 				continue
 			}
 		}
-		if due, urgent := holder.due(now, view, mine); due {
-			asks = append(asks, AddressedAsk{vm, urgent, holder.ask(now, view, mine)})
+		if due, urgent := holder.due(now, view, effective); due {
+			demands = append(demands, AddressedDemand{vm, urgent, holder.newDemand(now, view, effective)})
 		}
 	}
-	return asks
+	return demands
 }
 
-// forgetAfter is the time after which no lease of a keeper can arrive any more.
-const forgetAfter = 2 * LeaseLife
+// forgetAfter is the time after which no lease of a lessor can arrive any more.
+const forgetAfter = 2 * LeaseDuration
 
-// retire gives back what a keeper that is asked no more has granted. Forgetting
-// the keeper without a word would leave its slots idle until it takes the entry
-// for dead; a lease that was on its way is given back in the same manner.
-func (view *keeperView) retire() {
-	if view.told > 0 {
+// returnIdle returns the idle slots granted by a lessor that gets no more demands.
+// Without notice these slots would stay idle until the lessor considers the entry daemon
+// dead. A lease that was in flight is returned the same way.
+func (view *lessorView) returnIdle() {
+	if view.reportedWaiting > 0 {
 		view.dirty = true
 	}
 	for _, held := range view.targets {
@@ -373,24 +375,24 @@
 	}
 }
 
-func (holder *Holder) ordered() []berylspoke.VMID {
-	vms := make([]berylspoke.VMID, 0, len(holder.keepers))
-	for vm := range holder.keepers {
+func (holder *Holder) sortedLessors() []berylspoke.VMID {
+	vms := make([]berylspoke.VMID, 0, len(holder.lessors))
+	for vm := range holder.lessors {
 		vms = append(vms, vm)
 	}
 	sort.Slice(vms, func(i, j int) bool { return vms[i] < vms[j] })
 	return vms
 }
 
-// AddressedAsk is an ask and the VM of the keeper it is for; one that only renews
-// is not urgent.
-type AddressedAsk struct {
+// AddressedDemand is a demand and the VM of the lessor that receives it; one that only
+// renews is not urgent.
+type AddressedDemand struct {
 	To     berylspoke.VMID
 	Urgent bool
 	Ask    Ask
 }
 
-func (view *keeperView) used() int {
+func (view *lessorView) used() int {
 	used := 0
 	for _, held := range view.targets {
 		used += held.used
@@ -398,7 +400,7 @@
 	return used
 }
 
-func (view *keeperView) idle() int {
+func (view *lessorView) idle() int {
 	idle := 0
 	for _, held := range view.targets {
 		idle += held.held - held.used
@@ -406,52 +408,52 @@
 	return idle
 }
 
-// due says whether a keeper must hear from this entry now.
-func (holder *Holder) due(now time.Time, view *keeperView, need Need) (due, urgent bool) {
-	silent := now.Sub(view.lastSent)
+// due reports whether a demand must be sent to a lessor now, and whether it is urgent.
+func (holder *Holder) due(now time.Time, view *lessorView, need Need) (due, urgent bool) {
+	sinceSent := now.Sub(view.lastSent)
 	if view.dirty {
 		return true, true
 	}
 	if need.Waiting > 0 {
-		grew := need.Waiting > view.told && view.told < askTags
-		overtook := len(need.Tags) > 0 && need.Tags[0]+view.margin < view.toldHead && silent >= overtakeAfter
-		return grew || overtook || silent >= retellAfter, grew || overtook
+		grew := need.Waiting > view.reportedWaiting && view.reportedWaiting < maxDemandTags
+		overtook := len(need.Tags) > 0 && need.Tags[0]+view.margin < view.reportedHead && sinceSent >= lowerTagInterval
+		return grew || overtook || sinceSent >= resendTagsAfter, grew || overtook
 	}
-	if view.used() == 0 && (view.idle() == 0 || now.Sub(holder.active) > activeFor) {
+	if view.used() == 0 && (view.idle() == 0 || now.Sub(holder.lastActive) > activeWindow) {
 		return false, false
 	}
-	short := view.idle() == 0 && !view.contended && silent >= repeatAfter && now.Sub(holder.active) < time.Second
-	return short || silent >= refreshAfter, short
+	depleted := view.idle() == 0 && !view.contended && sinceSent >= replenishAfter && now.Sub(holder.lastActive) < time.Second
+	return depleted || sinceSent >= renewAfter, depleted
 }
 
-func (holder *Holder) ask(now time.Time, view *keeperView, need Need) Ask {
-	view.sequence++
-	view.sentAt[view.sequence%uint32(len(view.sentAt))] = now
+func (holder *Holder) newDemand(now time.Time, view *lessorView, need Need) Ask {
+	view.demandSequence++
+	view.sentAt[view.demandSequence%uint32(len(view.sentAt))] = now
 	view.lastSent = now
 	view.dirty = false
-	view.told = need.Waiting
-	view.toldHead = 0
-	ask := Ask{
+	view.reportedWaiting = need.Waiting
+	view.reportedHead = 0
+	demand := Ask{
 		From: holder.self, Service: holder.service,
-		Sequence: view.sequence, Applied: view.applied,
-		Waiting: need.Waiting, Time: need.Time, Started: view.started,
+		Sequence: view.demandSequence, Applied: view.applied,
+		Waiting: need.Waiting, Time: need.Time, Started: view.maxStarted,
 	}
 	for _, tag := range need.Tags {
-		ask.Tags = append(ask.Tags, tag+view.margin)
+		demand.Tags = append(demand.Tags, tag+view.margin)
 	}
-	if len(ask.Tags) > 0 {
-		view.toldHead = ask.Tags[0]
+	if len(demand.Tags) > 0 {
+		view.reportedHead = demand.Tags[0]
 	}
 	for target, held := range view.targets {
 		if held.held == 0 && held.used == 0 {
 			delete(view.targets, target)
 			continue
 		}
-		ask.Holds = append(ask.Holds, Hold{target, held.held, held.used, held.pace})
+		demand.Holds = append(demand.Holds, Hold{target, held.held, held.used, held.tokenInterval})
 	}
-	sort.Slice(ask.Holds, func(i, j int) bool { return ask.Holds[i].Target < ask.Holds[j].Target })
-	return ask
+	sort.Slice(demand.Holds, func(i, j int) bool { return demand.Holds[i].Target < demand.Holds[j].Target })
+	return demand
 }
 
-// AskTags is the number of tags an ask describes.
-const AskTags = askTags
+// AskTags is the maximum number of tags in a demand.
+const AskTags = maxDemandTags
--- a/core/berylslot/keeper.go
+++ b/core/berylslot/keeper.go
@@ -1,6 +1,6 @@
 package berylslot
 
-// This file defines the keeper of the targets of one service.
+// This file defines the lessor of the targets of one service.
 
 import (
 	"sort"
@@ -9,65 +9,66 @@
 	"berylspoke"
 )
 
-// KeeperOptions bound a keeper's leases.
+// KeeperOptions bound the leases of a lessor.
 type KeeperOptions struct {
-	// Spare is the number of idle slots an entry may hold on one target while
-	// nobody waits.
-	Spare int
-	// Slack is how far above the lowest waiting tag a freed slot may be reused;
-	// it buys fewer messages with a wider service gap.
+	// SpareSlots is the number of idle slots that an entry daemon may be granted at a
+	// time while no request waits.
+	SpareSlots int
+	// Slack is how far above the lowest waiting tag a freed slot may be reused; a larger
+	// slack saves messages and widens the gap in service between organisations.
 	Slack berylspoke.Tag
-	// Silence is the time after which an unheard entry loses its slots; it
-	// exceeds LeaseLife, so the entry has stopped using them by then.
-	Silence time.Duration
-	// Resend is the time after which an unapplied lease is repeated.
-	Resend time.Duration
-	// IgnoreTags grants in turn, as a baseline without fleet-wide order.
+	// HolderTimeout is the time without a demand after which an entry daemon loses its
+	// slots; it exceeds LeaseDuration, after which the entry daemon starts no request on
+	// them.
+	HolderTimeout time.Duration
+	// ResendAfter is the time after which an unapplied lease is sent again.
+	ResendAfter time.Duration
+	// IgnoreTags grants slots in turn, as a baseline without an order across the fleet.
 	IgnoreTags bool
 	Limiter    LimiterOptions
 }
 
-// DefaultKeeperOptions returns the product's bounds.
+// DefaultKeeperOptions returns the options of a daemon.
 func DefaultKeeperOptions() KeeperOptions {
 	return KeeperOptions{
-		Spare:   2,
-		Slack:   0,
-		Silence: LeaseLife + 3*time.Second,
-		Resend:  150 * time.Millisecond,
-		Limiter: DefaultLimiterOptions(),
+		SpareSlots:    2,
+		Slack:         0,
+		HolderTimeout: LeaseDuration + 3*time.Second,
+		ResendAfter:   150 * time.Millisecond,
+		Limiter:       DefaultLimiterOptions(),
 	}
 }
 
-// slots is what one entry holds of one target.
-type slots struct {
+// slotUse is one entry daemon's use of the slots of one target.
+type slotUse struct {
 	held, used, granted int
-	// peak is the highest grant since the entry last confirmed one.
+	// peak is the highest grant since the entry daemon last confirmed one.
 	peak int
 }
 
-// most is the number of requests the entry may be running as far as known.
-func (slots *slots) most() int { return max(slots.held, slots.used, slots.granted, slots.peak) }
+// maxUsed returns the highest number of requests that the entry daemon may be running.
+func (slots *slotUse) maxUsed() int { return max(slots.held, slots.used, slots.granted, slots.peak) }
 
-type holder struct {
-	process  berylspoke.Process
-	asked    uint32
-	sequence uint32
-	sent     time.Time
-	heard    time.Time
-	waiting  int
-	tags     []berylspoke.Tag
-	targets  map[berylspoke.TargetID]*slots
-	dirty    bool
+type holderState struct {
+	process        berylspoke.Process
+	demandSequence uint32
+	leaseSequence  uint32
+	lastSent       time.Time
+	lastReceived   time.Time
+	waiting        int
+	tags           []berylspoke.Tag
+	targets        map[berylspoke.TargetID]*slotUse
+	dirty          bool
 	// changed is set when a grant differs from the one last sent.
-	changed bool
-	last    Lease
+	changed   bool
+	lastLease Lease
 }
 
-// change marks a grant that the entry must hear of.
-func (holder *holder) change() { holder.dirty, holder.changed = true, true }
+// markChanged marks that the holder must be sent its changed grants.
+func (holder *holderState) markChanged() { holder.dirty, holder.changed = true, true }
 
-// idle is the number of granted slots that the entry has not used yet.
-func (holder *holder) idle() int {
+// idle returns the number of granted slots that the holder does not use.
+func (holder *holderState) idle() int {
 	idle := 0
 	for _, slots := range holder.targets {
 		idle += max(slots.granted-slots.used, 0)
@@ -76,68 +77,68 @@
 }
 
 // tag returns the tag of the request after the first skip waiting ones.
-func (holder *holder) tag(skip int) berylspoke.Tag {
+func (holder *holderState) tag(skip int) berylspoke.Tag {
 	if len(holder.tags) == 0 {
 		return 0
 	}
 	return holder.tags[min(skip, len(holder.tags)-1)]
 }
 
-// Keeper leases the targets of one service that are placed on one daemon.
+// Keeper leases the targets of one service that are assigned to this daemon.
 type Keeper struct {
-	options  KeeperOptions
-	self     berylspoke.Process
-	service  berylspoke.ServiceID
-	limiters map[berylspoke.TargetID]*Limiter
-	holders  map[berylspoke.VMID]*holder
-	time     berylspoke.Tag
-	since    time.Time
-	turn     int
-	// unmet is when a request last waited for want of a slot.
-	unmet time.Time
-	// sequence numbers the leases to all entries. A number used twice for an
-	// entry that was forgotten and came back would let it confirm, with an old
-	// lease that was late, what it never got.
+	options     KeeperOptions
+	self        berylspoke.Process
+	service     berylspoke.ServiceID
+	limiters    map[berylspoke.TargetID]*Limiter
+	holders     map[berylspoke.VMID]*holderState
+	virtualTime berylspoke.Tag
+	takenOver   time.Time
+	rotation    int
+	// lastUnmet is when a request last waited for lack of a slot.
+	lastUnmet time.Time
+	// sequence numbers the leases to all entry daemons. If a number were used twice for
+	// an entry daemon that was removed and came back, a late old lease could make it
+	// confirm slots that it never received.
 	sequence uint32
 }
 
-// NewKeeper returns a keeper without targets.
+// NewKeeper returns a lessor without targets.
 func NewKeeper(now time.Time, self berylspoke.Process, service berylspoke.ServiceID, options KeeperOptions) *Keeper {
 	return &Keeper{
-		options:  options,
-		self:     self,
-		service:  service,
-		limiters: make(map[berylspoke.TargetID]*Limiter),
-		holders:  make(map[berylspoke.VMID]*holder),
-		since:    now,
+		options:   options,
+		self:      self,
+		service:   service,
+		limiters:  make(map[berylspoke.TargetID]*Limiter),
+		holders:   make(map[berylspoke.VMID]*holderState),
+		takenOver: now,
 	}
 }
 
-// SetTargets sets the targets this daemon keeps; slots of others lapse.
-func (keeper *Keeper) SetTargets(now time.Time, targets []berylspoke.TargetID) {
-	kept := make(map[berylspoke.TargetID]*Limiter, len(targets))
+// SetTargets sets the targets that this daemon leases; slots of other targets lapse.
+func (lessor *Keeper) SetTargets(now time.Time, targets []berylspoke.TargetID) {
+	limiters := make(map[berylspoke.TargetID]*Limiter, len(targets))
 	for _, target := range targets {
-		kept[target] = keeper.limiters[target]
-		if kept[target] == nil {
-			kept[target] = NewLimiter(keeper.options.Limiter)
-			keeper.since = now
+		limiters[target] = lessor.limiters[target]
+		if limiters[target] == nil {
+			limiters[target] = NewLimiter(lessor.options.Limiter)
+			lessor.takenOver = now
 		}
 	}
-	for _, holder := range keeper.holders {
+	for _, holder := range lessor.holders {
 		for target := range holder.targets {
-			if kept[target] == nil {
+			if limiters[target] == nil {
 				delete(holder.targets, target)
 				holder.dirty = true
 			}
 		}
 	}
-	keeper.limiters = kept
+	lessor.limiters = limiters
 }
 
-// Targets returns the targets kept, sorted by id.
-func (keeper *Keeper) Targets() []berylspoke.TargetID {
-	targets := make([]berylspoke.TargetID, 0, len(keeper.limiters))
-	for target := range keeper.limiters {
+// Targets returns the leased targets, sorted by id.
+func (lessor *Keeper) Targets() []berylspoke.TargetID {
+	targets := make([]berylspoke.TargetID, 0, len(lessor.limiters))
+	for target := range lessor.limiters {
 		targets = append(targets, target)
 	}
 	sort.Slice(targets, func(i, j int) bool { return targets[i] < targets[j] })
@@ -145,62 +146,62 @@
 }
 
 // Limiter returns a target's limiter, or nil.
-func (keeper *Keeper) Limiter(target berylspoke.TargetID) *Limiter { return keeper.limiters[target] }
+func (lessor *Keeper) Limiter(target berylspoke.TargetID) *Limiter { return lessor.limiters[target] }
 
-// Time returns the highest tag started on this keeper's targets.
-func (keeper *Keeper) Time() berylspoke.Tag { return keeper.time }
+// VirtualTime returns the highest tag started on this lessor's targets.
+func (lessor *Keeper) VirtualTime() berylspoke.Tag { return lessor.virtualTime }
 
-// Report takes a target's load report.
-func (keeper *Keeper) Report(now time.Time, target berylspoke.TargetID, report berylspoke.LoadReport) {
-	limiter := keeper.limiters[target]
+// Report applies a target's load report.
+func (lessor *Keeper) Report(now time.Time, target berylspoke.TargetID, report berylspoke.LoadReport) {
+	limiter := lessor.limiters[target]
 	if limiter == nil {
 		return
 	}
-	limiter.Use(now, keeper.out(target))
-	limiter.Report(now, report, now.Sub(keeper.unmet) < wantedFor)
+	limiter.RecordUse(now, lessor.outstanding(target))
+	limiter.Report(now, report, now.Sub(lessor.lastUnmet) < unmetWindow)
 }
 
-// out is the number of slots that entries may be using.
-func (keeper *Keeper) out(target berylspoke.TargetID) int {
+// outstanding returns the number of slots of a target that entry daemons may be using.
+func (lessor *Keeper) outstanding(target berylspoke.TargetID) int {
 	out := 0
-	for _, holder := range keeper.holders {
+	for _, holder := range lessor.holders {
 		if slots := holder.targets[target]; slots != nil {
-			out += slots.most()
+			out += slots.maxUsed()
 		}
 	}
 	return out
 }
 
-// Ask takes an entry's view; an ask overtaken by a newer one is dropped.
-func (keeper *Keeper) Ask(now time.Time, ask Ask) {
-	from := keeper.holders[ask.From.VM]
-	if from != nil && from.process != ask.From {
-		if ask.From.Incarnation < from.process.Incarnation {
+// Ask applies an entry daemon's demand; one older than the last received is dropped.
+func (lessor *Keeper) Ask(now time.Time, demand Ask) {
+	holder := lessor.holders[demand.From.VM]
+	if holder != nil && holder.process != demand.From {
+		if demand.From.Incarnation < holder.process.Incarnation {
 			return
 		}
-		from = nil
+		holder = nil
 	}
-	if from == nil {
-		from = &holder{process: ask.From, targets: make(map[berylspoke.TargetID]*slots)}
-		keeper.holders[ask.From.VM] = from
+	if holder == nil {
+		holder = &holderState{process: demand.From, targets: make(map[berylspoke.TargetID]*slotUse)}
+		lessor.holders[demand.From.VM] = holder
 	}
-	if ask.Sequence <= from.asked {
+	if demand.Sequence <= holder.demandSequence {
 		return
 	}
-	stale := now.Sub(from.heard) > LeaseLife
-	from.asked, from.heard = ask.Sequence, now
-	from.waiting, from.tags = ask.Waiting, ask.Tags
-	keeper.advance(ask)
-	if stale {
-		from.tags = lifted(ask.Tags, keeper.time)
+	expired := now.Sub(holder.lastReceived) > LeaseDuration
+	holder.demandSequence, holder.lastReceived = demand.Sequence, now
+	holder.waiting, holder.tags = demand.Waiting, demand.Tags
+	lessor.advanceTime(demand)
+	if expired {
+		holder.tags = raiseTags(demand.Tags, lessor.virtualTime)
 	}
-	keeper.confirm(now, from, ask)
+	lessor.reconcile(now, holder, demand)
 }
 
-// lifted raises tags to the floor. An entry that was idle knows only an old
-// virtual time, and its organisations would go before everyone else until its
-// first lease tells it the present one.
-func lifted(tags []berylspoke.Tag, floor berylspoke.Tag) []berylspoke.Tag {
+// raiseTags raises tags to the floor. An entry daemon that was idle knows only an old
+// virtual time, so its organisations would take precedence over all others until its
+// first lease reports the present one.
+func raiseTags(tags []berylspoke.Tag, floor berylspoke.Tag) []berylspoke.Tag {
 	raised := make([]berylspoke.Tag, len(tags))
 	for i, tag := range tags {
 		raised[i] = max(tag, floor)
@@ -208,55 +209,56 @@
 	return raised
 }
 
-// advance moves the virtual time; a keeper that starts empty adopts the
-// entries' time, or the newly backlogged would go before everyone for long.
-func (keeper *Keeper) advance(ask Ask) {
-	if keeper.time == 0 {
-		keeper.time = ask.Time
+// advanceTime advances the virtual time; a lessor that starts empty adopts the entry
+// daemons' time, or organisations with a new backlog would take precedence over all
+// others for long.
+func (lessor *Keeper) advanceTime(demand Ask) {
+	if lessor.virtualTime == 0 {
+		lessor.virtualTime = demand.Time
 	}
-	keeper.time = max(keeper.time, ask.Started)
+	lessor.virtualTime = max(lessor.virtualTime, demand.Started)
 }
 
-// confirm brings the books in line with what the entry says it holds.
-func (keeper *Keeper) confirm(now time.Time, from *holder, ask Ask) {
-	confirmed := ask.Applied == from.sequence
-	seen := make(map[berylspoke.TargetID]bool, len(ask.Holds))
-	for _, hold := range ask.Holds {
-		limiter := keeper.limiters[hold.Target]
+// reconcile updates the records of a holder from the slots that its demand reports.
+func (lessor *Keeper) reconcile(now time.Time, holder *holderState, demand Ask) {
+	confirmed := demand.Applied == holder.leaseSequence
+	reported := make(map[berylspoke.TargetID]bool, len(demand.Holds))
+	for _, hold := range demand.Holds {
+		limiter := lessor.limiters[hold.Target]
 		if limiter == nil {
-			from.dirty = true
+			holder.dirty = true
 			continue
 		}
-		seen[hold.Target] = true
-		limiter.Pace(hold.Pace)
-		entry := from.slots(hold.Target)
-		entry.held, entry.used = hold.Held, hold.Used
+		reported[hold.Target] = true
+		limiter.RecordTokenInterval(hold.Pace)
+		held := holder.slotsOn(hold.Target)
+		held.held, held.used = hold.Held, hold.Used
 		if confirmed {
-			entry.granted, entry.peak = hold.Held, hold.Held
+			held.granted, held.peak = hold.Held, hold.Held
 		}
 	}
-	for target, slots := range from.targets {
-		if !seen[target] {
+	for target, slots := range holder.targets {
+		if !reported[target] {
 			slots.held, slots.used = 0, 0
 			if confirmed {
-				delete(from.targets, target)
+				delete(holder.targets, target)
 			}
 		}
 	}
-	if !confirmed && now.Sub(from.sent) > keeper.options.Resend || now.Sub(from.sent) > LeaseLife/3 {
-		// The lease was lost on the way, or must be renewed before it lapses.
-		from.dirty = true
+	if !confirmed && now.Sub(holder.lastSent) > lessor.options.ResendAfter || now.Sub(holder.lastSent) > LeaseDuration/3 {
+		// The lease was lost, or must be renewed before it expires.
+		holder.dirty = true
 	}
 }
 
-func (holder *holder) slots(target berylspoke.TargetID) *slots {
+func (holder *holderState) slotsOn(target berylspoke.TargetID) *slotUse {
 	found := holder.targets[target]
 	if found == nil {
-		found = new(slots)
+		found = new(slotUse)
 		holder.targets[target] = found
 	}
 	return found
 }
 
 // Drop takes back the slots of a daemon that died.
-func (keeper *Keeper) Drop(vm berylspoke.VMID) { delete(keeper.holders, vm) }
+func (lessor *Keeper) Drop(vm berylspoke.VMID) { delete(lessor.holders, vm) }
--- a/core/berylslot/messages.go
+++ b/core/berylslot/messages.go
@@ -1,6 +1,6 @@
 package berylslot
 
-// This file defines the messages between entries and keepers.
+// This file defines the messages between entry daemons and lessors.
 
 import (
 	"time"
@@ -8,48 +8,52 @@
 	"berylspoke"
 )
 
-// Hold is what an entry holds and uses of one target; Pace is the mean time
-// between tokens it saw there, zero if none.
+// Hold is the number of slots of one target that an entry daemon holds and uses.
 type Hold struct {
 	Target berylspoke.TargetID
 	Held   int
 	Used   int
-	Pace   time.Duration
+	// Pace is the mean time between tokens measured on the target, zero if none.
+	Pace time.Duration
 }
 
-// Ask is an entry's whole view towards one keeper for one service.
+// Ask is an entry daemon's complete demand towards one lessor for one service.
 type Ask struct {
 	From    berylspoke.Process
 	Service berylspoke.ServiceID
-	// Sequence numbers the asks of a process; Applied is the last lease whose
-	// content Holds includes.
+	// Sequence numbers the demands of a process; Applied is the sequence of the last
+	// lease that the held slots reflect.
 	Sequence, Applied uint32
 	Waiting           int
 	Tags              []berylspoke.Tag
-	Time, Started     berylspoke.Tag
-	Holds             []Hold
+	// Time is the virtual time of the entry daemon; Started is the highest tag that it
+	// started on the lessor's targets.
+	Time, Started berylspoke.Tag
+	Holds         []Hold
 }
 
 // PeerMessage implements berylspoke.Message.
 func (Ask) PeerMessage() {}
 
-// Grant is the number of slots of a target that an entry may hold.
+// Grant is the number of slots of a target that an entry daemon may hold.
 type Grant struct {
 	Target berylspoke.TargetID
 	Slots  int
 }
 
-// Lease is a keeper's whole view towards one entry for one service.
+// Lease is everything that a lessor grants to one entry daemon for one service.
 type Lease struct {
 	From    berylspoke.Process
 	Service berylspoke.ServiceID
-	// Sequence numbers the leases of a process; Answers is the last ask seen.
+	// Sequence numbers the leases of a process; Answers is the sequence of the last
+	// demand received.
 	Sequence, Answers uint32
 	Contended         bool
-	// Threshold is the highest tag with which a freed slot may be reused.
+	// Threshold is the highest tag that may reuse a freed slot.
 	Threshold berylspoke.Tag
-	Time      berylspoke.Tag
-	Grants    []Grant
+	// Time is the virtual time of the lessor.
+	Time   berylspoke.Tag
+	Grants []Grant
 }
 
 // PeerMessage implements berylspoke.Message.
--- a/core/berylslot/slot_test.go
+++ b/core/berylslot/slot_test.go
@@ -12,23 +12,23 @@
 )
 
 const (
-	keeperVM = berylspoke.VMID("keeper")
-	slotsOf  = 5
+	lessorVM    = berylspoke.VMID("keeper")
+	targetLimit = 5
 )
 
-// pool is one keeper of two targets, three entries, and the messages on their
-// way, which may be lost, doubled and overtaken.
+// pool is one lessor of two targets, three entry daemons, and the messages in flight,
+// which may be lost, duplicated and reordered.
 type pool struct {
-	now     time.Time
-	keeper  *Keeper
-	holders map[berylspoke.VMID]*Holder
-	waiting map[berylspoke.VMID]int
-	running map[berylspoke.VMID][]Place
-	asks    []Ask
-	leases  []Addressed
-	starts  berylspoke.Incarnation
-	// reclaimed is set once the keeper took back the slots of a silent entry
-	// that still runs requests; only the target's report can show those.
+	now          time.Time
+	lessor       *Keeper
+	holders      map[berylspoke.VMID]*Holder
+	waiting      map[berylspoke.VMID]int
+	running      map[berylspoke.VMID][]Place
+	demands      []Ask
+	leases       []AddressedLease
+	incarnations berylspoke.Incarnation
+	// reclaimed is set once the lessor took back the slots of a silent entry daemon that
+	// still runs requests; only a load report of the target could reveal those.
 	reclaimed bool
 }
 
@@ -37,28 +37,29 @@
 		now: time.Unix(1000, 0), holders: make(map[berylspoke.VMID]*Holder),
 		waiting: make(map[berylspoke.VMID]int), running: make(map[berylspoke.VMID][]Place),
 	}
-	pool.restartKeeper()
+	pool.restartLessor()
 	for _, vm := range []berylspoke.VMID{"e1", "e2", "e3"} {
 		pool.restartEntry(vm)
 	}
 	return pool
 }
 
-func (pool *pool) restartKeeper() {
-	pool.starts++
+func (pool *pool) restartLessor() {
+	pool.incarnations++
 	options := DefaultKeeperOptions()
-	options.Limiter.Start = slotsOf
-	pool.keeper = NewKeeper(pool.now, berylspoke.Process{VM: keeperVM, Incarnation: pool.starts}, "model", options)
-	pool.keeper.SetTargets(pool.now, []berylspoke.TargetID{"t1", "t2"})
+	options.Limiter.Initial = targetLimit
+	pool.lessor = NewKeeper(pool.now, berylspoke.Process{VM: lessorVM, Incarnation: pool.incarnations}, "model", options)
+	pool.lessor.SetTargets(pool.now, []berylspoke.TargetID{"t1", "t2"})
 }
 
 func (pool *pool) restartEntry(vm berylspoke.VMID) {
-	pool.starts++
-	pool.holders[vm] = NewHolder(berylspoke.Process{VM: vm, Incarnation: pool.starts}, "model")
+	pool.incarnations++
+	pool.holders[vm] = NewHolder(berylspoke.Process{VM: vm, Incarnation: pool.incarnations}, "model")
 	pool.running[vm], pool.waiting[vm] = nil, 0
 }
 
-// exchange lets the entry start what it may and ask for what it lacks.
+// exchange starts the requests that the entry daemon has slots for and queues its
+// demands.
 func (pool *pool) exchange(vm berylspoke.VMID) {
 	holder := pool.holders[vm]
 	for pool.waiting[vm] > 0 {
@@ -72,19 +73,19 @@
 	}
 	holder.Release(0, pool.waiting[vm] > 0)
 	need := Need{Waiting: pool.waiting[vm], Tags: make([]berylspoke.Tag, min(pool.waiting[vm], AskTags))}
-	for _, ask := range holder.Asks(pool.now, Asked{Local: []berylspoke.VMID{keeperVM}}, need) {
-		pool.asks = append(pool.asks, ask.Ask)
+	for _, demand := range holder.Asks(pool.now, Asked{Local: []berylspoke.VMID{lessorVM}}, need) {
+		pool.demands = append(pool.demands, demand.Ask)
 	}
 }
 
-// assign sends the keeper's leases; the last few may still arrive.
+// assign queues the lessor's leases; only the last few messages may still arrive.
 func (pool *pool) assign() {
-	pool.leases = append(pool.leases, pool.keeper.Assign(pool.now)...)
-	pool.leases = pool.leases[max(0, len(pool.leases)-keptMessages):]
-	pool.asks = pool.asks[max(0, len(pool.asks)-keptMessages):]
+	pool.leases = append(pool.leases, pool.lessor.Assign(pool.now)...)
+	pool.leases = pool.leases[max(0, len(pool.leases)-maxInFlight):]
+	pool.demands = pool.demands[max(0, len(pool.demands)-maxInFlight):]
 }
 
-const keptMessages = 8
+const maxInFlight = 8
 
 func (pool *pool) finish(vm berylspoke.VMID) {
 	if running := pool.running[vm]; len(running) > 0 {
@@ -105,14 +106,14 @@
 	return used
 }
 
-// settle delivers everything in order until nothing is left to say.
-func (pool *pool) settle(duration time.Duration) {
+// deliver exchanges all messages in order for the given time.
+func (pool *pool) deliver(duration time.Duration) {
 	for end := pool.now.Add(duration); pool.now.Before(end); pool.now = pool.now.Add(50 * time.Millisecond) {
-		for _, ask := range pool.asks {
-			pool.keeper.Ask(pool.now, ask)
+		for _, demand := range pool.demands {
+			pool.lessor.Ask(pool.now, demand)
 		}
-		pool.asks = nil
-		for _, lease := range pool.keeper.Assign(pool.now) {
+		pool.demands = nil
+		for _, lease := range pool.lessor.Assign(pool.now) {
 			pool.holders[lease.To].Take(lease.Lease)
 		}
 		for _, vm := range []berylspoke.VMID{"e1", "e2", "e3"} {
@@ -121,9 +122,9 @@
 	}
 }
 
-// Asks and leases are lost, doubled, overtaken and late by seconds, and entries
-// pause past the life of their leases. A target never runs more requests than
-// its limit; and once messages arrive again, no slot idles while a request waits.
+// Demands and leases are lost, duplicated, reordered and late by seconds, and entry
+// daemons pause for longer than their leases last. A target never runs more requests than
+// its limit, and once messages arrive again, no slot idles while a request waits.
 func TestSlotsAreNeitherOversoldNorLost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		pool := newPool()
@@ -135,17 +136,17 @@
 			"finish": func(t *rapid.T) { pool.finish(vm(t)) },
 			"entry":  func(t *rapid.T) { pool.exchange(vm(t)) },
 			"ask": func(t *rapid.T) {
-				if len(pool.asks) > 0 {
-					pool.keeper.Ask(pool.now, pool.asks[rapid.IntRange(0, len(pool.asks)-1).Draw(t, "ask")])
+				if len(pool.demands) > 0 {
+					pool.lessor.Ask(pool.now, pool.demands[rapid.IntRange(0, len(pool.demands)-1).Draw(t, "ask")])
 				}
 			},
 			"assign": func(*rapid.T) { pool.assign() },
 			"round": func(t *rapid.T) {
-				// An entry asks, and its lease arrives at once.
+				// A demand is sent, and its lease arrives at once.
 				from := vm(t)
 				pool.exchange(from)
-				if len(pool.asks) > 0 {
-					pool.keeper.Ask(pool.now, pool.asks[len(pool.asks)-1])
+				if len(pool.demands) > 0 {
+					pool.lessor.Ask(pool.now, pool.demands[len(pool.demands)-1])
 				}
 				pool.assign()
 				for _, lease := range pool.leases {
@@ -166,72 +167,72 @@
 			},
 			"": func(t *rapid.T) {
 				for vm, running := range pool.running {
-					pool.reclaimed = pool.reclaimed || len(running) > 0 && pool.keeper.holders[vm] == nil
+					pool.reclaimed = pool.reclaimed || len(running) > 0 && pool.lessor.holders[vm] == nil
 				}
 				if pool.reclaimed {
 					return
 				}
 				for _, target := range []berylspoke.TargetID{"t1", "t2"} {
-					if used := pool.used(target); used > slotsOf {
-						t.Fatalf("%s runs %d requests, its limit is %d", target, used, slotsOf)
+					if used := pool.used(target); used > targetLimit {
+						t.Fatalf("%s runs %d requests, limit %d", target, used, targetLimit)
 					}
 				}
 			},
 		})
 		pool.leases = nil
 		pool.waiting["e2"] += 20
-		pool.settle(30 * time.Second)
-		if pool.waiting["e2"] > 0 && pool.used("t1")+pool.used("t2") < 2*slotsOf {
-			t.Fatalf("%d and %d slots are used of %d each while %d requests wait",
-				pool.used("t1"), pool.used("t2"), slotsOf, pool.waiting["e2"])
+		pool.deliver(30 * time.Second)
+		if pool.waiting["e2"] > 0 && pool.used("t1")+pool.used("t2") < 2*targetLimit {
+			t.Fatalf("%d and %d of %d slots are used while %d requests wait",
+				pool.used("t1"), pool.used("t2"), targetLimit, pool.waiting["e2"])
 		}
 	})
 }
 
-// A target's keeper changes while requests run. The new keeper starts empty; it
-// must hear what runs before it leases the same slots again.
-func TestNewKeeperHearsWhatRuns(t *testing.T) {
+// A target's lessor changes while requests run. The new lessor starts empty; it must
+// receive what runs before it leases the same slots again.
+func TestNewLessorLearnsRunningRequests(t *testing.T) {
 	pool := newPool()
 	pool.waiting["e1"] = 20
-	pool.settle(5 * time.Second)
-	require.Equal(t, slotsOf, pool.used("t1"))
-	pool.restartKeeper()
+	pool.deliver(5 * time.Second)
+	require.Equal(t, targetLimit, pool.used("t1"))
+	pool.restartLessor()
 	for range 200 {
-		pool.settle(50 * time.Millisecond)
-		require.LessOrEqual(t, pool.used("t1"), slotsOf)
-		require.LessOrEqual(t, pool.used("t2"), slotsOf)
+		pool.deliver(50 * time.Millisecond)
+		require.LessOrEqual(t, pool.used("t1"), targetLimit)
+		require.LessOrEqual(t, pool.used("t2"), targetLimit)
 		pool.finish("e1")
 	}
 	require.Zero(t, pool.waiting["e1"])
 }
 
-// An entry was cut off until its keeper forgot it. When it comes back, the
-// keeper numbers its leases from the start; the entry took them for old ones and
-// its callers waited although slots were free.
-func TestForgottenEntryIsServedAgain(t *testing.T) {
+// An entry daemon was partitioned until its lessor removed it. On its return the lessor
+// numbered its leases from the start; the entry daemon dropped them as old, and its
+// callers waited although slots were free.
+func TestReturningEntryIsServedAgain(t *testing.T) {
 	pool := newPool()
 	for range 30 {
 		pool.waiting["e1"] += 3
-		pool.settle(300 * time.Millisecond)
+		pool.deliver(300 * time.Millisecond)
 		for range 3 {
 			pool.finish("e1")
 		}
 	}
 	pool.now = pool.now.Add(time.Minute)
-	pool.keeper.Assign(pool.now)
-	require.Empty(t, pool.keeper.holders)
+	pool.lessor.Assign(pool.now)
+	require.Empty(t, pool.lessor.holders)
 	pool.waiting["e1"] = 1
-	pool.settle(time.Second)
+	pool.deliver(time.Second)
 	require.Zero(t, pool.waiting["e1"])
 }
 
-func TestLimiterFindsTheBatch(t *testing.T) {
+func TestLimiterFindsBatchSize(t *testing.T) {
 	for _, batch := range []int{1, 6, 8, 37, 200} {
 		limiter := NewLimiter(DefaultLimiterOptions())
 		now := time.Unix(0, 0)
 		for range 60 {
 			now = now.Add(time.Second)
-			limiter.Use(now, limiter.Limit())
+			limiter.RecordUse(now, limiter.Limit())
 			limiter.Report(now, berylspoke.LoadReport{
 				Running: min(limiter.Limit(), batch), Waiting: max(limiter.Limit()-batch, 0),
 			}, true)
@@ -241,36 +242,35 @@
 	}
 }
 
-// Two keepers lease one target while their fleets are cut apart. Each must make
-// room for the load that the other put on it, and must not take its own requests
-// that just ended for foreign ones.
+// Two lessors lease one target during a partition. Each must make room for the load that
+// the other put on it, and must not count its own requests that just ended as foreign.
 func TestLimiterYieldsToForeignLoad(t *testing.T) {
 	limiter := NewLimiter(DefaultLimiterOptions())
 	now := time.Unix(0, 0)
-	limiter.limit, limiter.congested, limiter.raised = 8, true, now.Add(time.Minute)
-	limiter.Use(now, 8)
-	limiter.Use(now.Add(time.Second), 3)
+	limiter.limit, limiter.congested, limiter.lastChange = 8, true, now.Add(time.Minute)
+	limiter.RecordUse(now, 8)
+	limiter.RecordUse(now.Add(time.Second), 3)
 	limiter.Report(now.Add(time.Second), berylspoke.LoadReport{Running: 8}, true)
-	require.Zero(t, limiter.Foreign(), "the report is old")
-	limiter.Use(now.Add(5*time.Second), 3)
+	require.Zero(t, limiter.Foreign(), "the report is late")
+	limiter.RecordUse(now.Add(5*time.Second), 3)
 	limiter.Report(now.Add(5*time.Second), berylspoke.LoadReport{Running: 6}, true)
 	require.Equal(t, 3, limiter.Foreign())
 	require.Equal(t, 5, limiter.Limit())
 }
 
-func BenchmarkKeeper(b *testing.B) {
+func BenchmarkLessor(b *testing.B) {
 	for _, entries := range []int{8, 40, 340} {
 		b.Run(fmt.Sprintf("entries=%d", entries), func(b *testing.B) {
 			now := time.Unix(0, 0)
-			keeper := NewKeeper(now, berylspoke.Process{VM: keeperVM, Incarnation: 1}, "model", DefaultKeeperOptions())
-			keeper.SetTargets(now, []berylspoke.TargetID{"t1", "t2"})
+			lessor := NewKeeper(now, berylspoke.Process{VM: lessorVM, Incarnation: 1}, "model", DefaultKeeperOptions())
+			lessor.SetTargets(now, []berylspoke.TargetID{"t1", "t2"})
 			b.ReportAllocs()
 			for i := range b.N {
-				keeper.Ask(now, Ask{
+				lessor.Ask(now, Ask{
 					From:    berylspoke.Process{VM: berylspoke.VMID(fmt.Sprint(i % entries)), Incarnation: 1},
 					Service: "model", Sequence: uint32(i/entries + 1), Waiting: 10, Tags: make([]berylspoke.Tag, 8),
 				})
-				keeper.Assign(now)
+				lessor.Assign(now)
 			}
 		})
 	}
