--- a/core/berylmember/detect.go
+++ b/core/berylmember/detect.go
@@ -1,6 +1,6 @@
 package berylmember
 
-// This file defines when heartbeats are due and whom silence makes suspect.
+// This file defines failure detection and when heartbeats are due.
 
 import (
 	"sort"
@@ -9,7 +9,7 @@
 	"berylspoke"
 )
 
-// Due is a heartbeat and the VMs that get it.
+// Due is a heartbeat and the VMs that it is sent to.
 type Due struct {
 	To   []berylspoke.VMID
 	Beat Heartbeat
@@ -18,64 +18,67 @@
 // Tick advances failure detection and returns the heartbeats due.
 func (table *Table) Tick(now time.Time) []Due {
 	table.detect(now)
-	periodic := now.Sub(table.lastBeat) >= table.options.Interval
+	periodic := now.Sub(table.lastHeartbeat) >= table.options.Interval
 	if !periodic && !table.urgent {
 		return nil
 	}
 	var due []Due
-	rumours := table.take()
+	rumours := table.takePending()
 	if len(rumours) > 0 {
-		due = append(due, Due{To: table.Links(), Beat: table.beat(rumours)})
-		table.lastBeat = now
+		due = append(due, Due{To: table.Links(), Beat: table.heartbeat(rumours)})
+		table.lastHeartbeat = now
 	} else if periodic {
-		due = append(due, Due{To: table.out, Beat: table.beat(nil)})
-		table.lastBeat = now
+		due = append(due, Due{To: table.out, Beat: table.heartbeat(nil)})
+		table.lastHeartbeat = now
 	}
 	table.urgent = false
-	if now.Sub(table.revived) >= table.options.ReviveEvery {
-		table.revived = now
+	if now.Sub(table.lastRecheck) >= table.options.RecheckInterval {
+		table.lastRecheck = now
 		due = append(due, table.recheck(now)...)
-		if dead := table.deadNeighbour(now); dead != "" {
-			// The greeting tells the other that it is believed dead. If only one
-			// side of a healed partition believes so, only this makes it refute.
+		if dead := table.deadSuccessor(now); dead != "" {
+			// The heartbeat reports to its receiver that it is considered dead. If only
+			// one side of a healed partition believes so, nothing else makes the receiver
+			// refute it.
 			belief := []Rumour{table.members[dead].Rumour}
-			due = append(due, Due{To: []berylspoke.VMID{dead}, Beat: table.beat(belief)})
+			due = append(due, Due{To: []berylspoke.VMID{dead}, Beat: table.heartbeat(belief)})
 		}
 	}
 	return due
 }
 
-// recheck tells one linked daemon, in turn, whom this one believes lost. A
-// refutation is told only a few times and may be lost on its way; without this
-// the subject would stay dead here for good. Whoever knows better answers.
+// recheck sends one linked daemon, in turn, the rumours of daemons that are not alive. A
+// refutation is sent only a few times and may be lost; without this the refuting daemon
+// would stay dead in this table forever. A receiver that knows better replies with
+// corrections.
 func (table *Table) recheck(now time.Time) []Due {
-	lost, linked := table.lost(), table.Links()
-	if len(lost) == 0 || len(linked) == 0 {
+	notAlive, linked := table.notAlive(), table.Links()
+	if len(notAlive) == 0 || len(linked) == 0 {
 		return nil
 	}
-	turn := int(now.UnixNano()/int64(table.options.ReviveEvery)) % len(linked)
-	return []Due{{To: linked[turn : turn+1], Beat: table.beat(lost[:min(len(lost), rumoursPerBeat)])}}
+	turn := int(now.UnixNano()/int64(table.options.RecheckInterval)) % len(linked)
+	return []Due{{To: linked[turn : turn+1], Beat: table.heartbeat(notAlive[:min(len(notAlive), rumoursPerHeartbeat)])}}
 }
 
-// detect suspects silent members and lets old suspicions count. A monitor that
-// was paused itself has heard nobody: the caller resets it by Resume.
+// detect marks silent members as suspect, and suspects as dead once their time to refute
+// is over. A daemon that was paused itself has received nothing during the pause; its
+// caller calls Resume first.
 func (table *Table) detect(now time.Time) {
-	for id, since := range table.watched {
+	for id, since := range table.monitoredSince {
 		member := table.members[id]
 		if member == nil || member.Rumour.Status != Alive || member.Rumour.Process.Incarnation == 0 && !member.Listed {
 			continue
 		}
-		last := member.Heard
+		last := member.LastSeen
 		if since.After(last) {
 			last = since
 		}
 		if now.Sub(last) > table.options.SuspectAfter {
-			table.mark(now, member, Suspect)
+			table.setStatus(now, member, Suspect)
 		}
 	}
 	for id, member := range table.members {
 		if member.Rumour.Status == Suspect && now.Sub(member.Changed) > table.options.DeadAfter {
-			table.mark(now, member, Dead)
+			table.setStatus(now, member, Dead)
 		}
 		if table.options.Open && member.Rumour.Status == Dead && now.Sub(member.Changed) > table.options.ForgetAfter {
 			delete(table.members, id)
@@ -84,17 +87,17 @@
 	}
 }
 
-func (table *Table) mark(now time.Time, member *Member, status Status) {
+func (table *Table) setStatus(now time.Time, member *Member, status Status) {
 	member.Rumour.Status, member.Changed = status, now
-	table.spread(member.VM.ID)
+	table.enqueue(member.VM.ID)
 	table.relink(now)
 }
 
-// Resume forgets silence that this daemon slept through: after a pause every
-// member looks silent although only we were.
+// Resume restarts the time-outs after a pause of this daemon, during which every member
+// only seemed silent.
 func (table *Table) Resume(now time.Time) {
-	for id := range table.watched {
-		table.watched[id] = now
+	for id := range table.monitoredSince {
+		table.monitoredSince[id] = now
 	}
 	for _, member := range table.members {
 		if member.Rumour.Status == Suspect {
@@ -103,11 +106,11 @@
 	}
 }
 
-// deadNeighbour picks, in turn, a listed dead VM to greet, so that the sides of
-// a healed partition find each other. Only those that a heartbeat would go to if
-// they were alive are greeted: a greeting to a VM that is gone costs several
-// packets, and the whole fleet would send them.
-func (table *Table) deadNeighbour(now time.Time) berylspoke.VMID {
+// deadSuccessor picks, in turn, a listed dead VM to send a heartbeat to, so that the
+// sides of a healed partition find each other. Only VMs that would receive heartbeats if
+// they were alive are picked: a heartbeat to a VM that is gone costs several packets, and
+// otherwise the whole fleet would send them.
+func (table *Table) deadSuccessor(now time.Time) berylspoke.VMID {
 	var listed, dead []berylspoke.VMID
 	for id, member := range table.members {
 		if member.Listed {
@@ -124,5 +127,5 @@
 		return ""
 	}
 	sort.Slice(dead, func(i, j int) bool { return dead[i] < dead[j] })
-	return dead[int(now.UnixNano()/int64(table.options.ReviveEvery))%len(dead)]
+	return dead[int(now.UnixNano()/int64(table.options.RecheckInterval))%len(dead)]
 }
--- a/core/berylmember/member_test.go
+++ b/core/berylmember/member_test.go
@@ -20,8 +20,8 @@
 	return table
 }
 
-// A daemon's links grow with the logarithm of the fleet, and every daemon is
-// monitored by as many as it sends to.
+// A daemon's links grow with the logarithm of the fleet's size, and every daemon is
+// monitored by as many daemons as it sends heartbeats to.
 func TestLinksAreFewAndMutual(t *testing.T) {
 	for _, count := range []int{2, 3, 8, 64, 340, 1000} {
 		var vms []berylspoke.VMID
@@ -44,8 +44,8 @@
 	}
 }
 
-// Most keys keep their holder when one VM of many goes.
-func TestHoldersMoveLittle(t *testing.T) {
+// When one VM of many is lost, only the keys that it held move.
+func TestOnlyKeysOfLostVMMove(t *testing.T) {
 	var vms []berylspoke.VMID
 	for i := range 40 {
 		vms = append(vms, berylspoke.VMID(fmt.Sprintf("vm-%d", i)))
@@ -80,7 +80,7 @@
 			table := tableOf(count, now)
 			b.ReportAllocs()
 			for i := range b.N {
-				table.accept(now, Rumour{Process: berylspoke.Process{VM: "vm-1", Incarnation: berylspoke.Incarnation(i + 1)}})
+				table.apply(now, Rumour{Process: berylspoke.Process{VM: "vm-1", Incarnation: berylspoke.Incarnation(i + 1)}})
 			}
 		})
 	}
--- a/core/berylmember/open_test.go
+++ b/core/berylmember/open_test.go
@@ -15,9 +15,9 @@
 	return NewTable(now, berylspoke.VM{ID: vm, FailureDomain: "a"}, incarnation, options)
 }
 
-// There is no list of VMs: a newcomer knows one seed, which tells it of the rest
-// and the rest of it.
-func TestNewcomerLearnsTheFleetFromASeed(t *testing.T) {
+// Without a list of VMs a new daemon knows one seed. The seed reports the fleet to it,
+// and it to the fleet.
+func TestNewDaemonLearnsFleetFromSeed(t *testing.T) {
 	now := time.Unix(0, 0)
 	seed, other, newcomer := openTable(now, "seed", 1), openTable(now, "other", 1), openTable(now, "newcomer", 1)
 	seed.Hear(now, other.Sync())
@@ -29,11 +29,11 @@
 	require.Contains(t, seed.Live(), berylspoke.VMID("newcomer"))
 }
 
-// Pattern: 340 daemons ask one peer each five seconds for all it knows: 20 KB in
-// each answer, more than all other control traffic. Those that know the same must
-// not tell each other; one that missed the news of a stop, or of an incarnation,
-// must still hear of it.
-func TestOnlyTablesThatDifferAreTold(t *testing.T) {
+// 340 daemons each requested all that a peer knows every five seconds: 20 KB in each
+// answer, more than all other control traffic. Daemons that know the same must not send
+// it; one that missed that a daemon is leaving, or its new incarnation, must still
+// receive it.
+func TestSyncSendsOnlyDifferingTables(t *testing.T) {
 	now := time.Unix(0, 0)
 	one, other, third := openTable(now, "one", 1), openTable(now, "other", 1), openTable(now, "third", 1)
 	for range 2 {
@@ -52,10 +52,10 @@
 	require.True(t, other.Member("third").Rumour.Leaving)
 }
 
-// The clock of a VM goes back by seconds and its daemon starts anew, so its
-// incarnation is lower than the one that its peers knew. Unless it is told, they
-// would take it for an old message and for dead for good.
-func TestDaemonBehindASteppedClockIsBelieved(t *testing.T) {
+// The clock of a VM steps back by seconds and its daemon restarts, so its incarnation is
+// lower than the one that its peers know. Unless it learns that one, they would ignore
+// its messages as old and consider it dead forever.
+func TestDaemonWithSteppedBackClockRejoins(t *testing.T) {
 	now := time.Unix(0, 0)
 	peer := openTable(now, "peer", 1)
 	peer.Hear(now, openTable(now, "vm", 50).Sync())
@@ -68,9 +68,9 @@
 	require.EqualValues(t, 51, peer.Known("vm"))
 }
 
-// A VM that left for good is forgotten after a minute, or a fleet whose machines
-// are replaced daily would greet and list them for ever.
-func TestDeadAreForgotten(t *testing.T) {
+// A VM that is gone for good is removed after a minute; otherwise a fleet whose VMs are
+// replaced daily would list them and send heartbeats to them forever.
+func TestDeadMembersAreRemoved(t *testing.T) {
 	now := time.Unix(0, 0)
 	table := openTable(now, "vm", 1)
 	table.Hear(now, openTable(now, "gone", 1).Sync())
--- a/core/berylmember/rendezvous.go
+++ b/core/berylmember/rendezvous.go
@@ -10,7 +10,7 @@
 	"berylspoke"
 )
 
-// Score ranks a VM for a key; the highest score holds the key.
+// Score ranks a VM for a key; the VM with the highest score holds the key.
 func Score(key string, vm berylspoke.VMID) uint64 {
 	digest := xxhash.New()
 	_, _ = digest.WriteString(key)
@@ -31,7 +31,7 @@
 	return best
 }
 
-// Ranked returns up to count VMs in falling score for the key.
+// Ranked returns up to count VMs, sorted by falling score for the key.
 func Ranked(key string, vms []berylspoke.VMID, count int) []berylspoke.VMID {
 	ranked := append([]berylspoke.VMID(nil), vms...)
 	scores := make(map[berylspoke.VMID]uint64, len(vms))
@@ -42,12 +42,12 @@
 	return ranked[:min(count, len(ranked))]
 }
 
-// linkDistances are the ring distances at which a daemon sends heartbeats; the
-// two nearest are both kept so that one lost successor leaves a monitor.
+// linkDistances are the ring distances at which a daemon sends heartbeats; the two
+// nearest are both included, so that a daemon that loses one successor still has a
+// monitor.
 var linkDistances = []int{1, 2, 8, 32, 128, 512}
 
-// ring orders VMs by hash, so that neighbours on it are unlikely to share a
-// failure domain.
+// ring sorts VMs by hash, so that neighbours are unlikely to share a failure domain.
 func ring(vms []berylspoke.VMID) []berylspoke.VMID {
 	ordered := append([]berylspoke.VMID(nil), vms...)
 	sort.Slice(ordered, func(i, j int) bool {
@@ -57,16 +57,16 @@
 	return ordered
 }
 
-// links returns the VMs that self sends heartbeats to and those it monitors.
+// links returns the VMs that self sends heartbeats to and the VMs that it monitors.
 func links(self berylspoke.VMID, vms []berylspoke.VMID) (out, in []berylspoke.VMID) {
 	ordered := ring(vms)
-	place := -1
+	position := -1
 	for i, vm := range ordered {
 		if vm == self {
-			place = i
+			position = i
 		}
 	}
-	if place < 0 {
+	if position < 0 {
 		return nil, nil
 	}
 	count := len(ordered)
@@ -74,8 +74,8 @@
 		if distance >= count {
 			break
 		}
-		out = append(out, ordered[(place+distance)%count])
-		in = append(in, ordered[(place-distance+count)%count])
+		out = append(out, ordered[(position+distance)%count])
+		in = append(in, ordered[(position-distance+count)%count])
 	}
 	return out, in
 }
--- a/core/berylmember/rumour.go
+++ b/core/berylmember/rumour.go
@@ -6,10 +6,10 @@
 	"berylspoke"
 )
 
-// Status is what the fleet believes of one daemon.
+// Status is the state of a daemon as the fleet believes it.
 type Status uint8
 
-// The statuses in the order in which one overrides another of equal counter.
+// The statuses in the order in which one overrides another at the same counter.
 const (
 	Alive Status = iota
 	Suspect
@@ -21,23 +21,24 @@
 	return [...]string{"alive", "suspect", "dead"}[status]
 }
 
-// Rumour is one belief about one daemon; a higher incarnation, then a higher
-// counter, then a higher status wins.
+// Rumour is a belief about the state of one daemon. Of two rumours the one with the
+// higher incarnation, then the higher counter, then the higher status overrides the
+// other.
 type Rumour struct {
 	Process berylspoke.Process
 	Counter uint32
 	Status  Status
 	Leaving bool
-	// Place is where the daemon stands; it is empty where the platform lists VMs.
+	// Place holds the attributes of the daemon; it is empty if the platform lists VMs.
 	Place Place
 }
 
-// Place is what a daemon says of itself to a fleet without a list of VMs.
+// Place holds the attributes that a daemon announces in a fleet without a list of VMs.
 type Place struct {
 	FailureDomain berylspoke.FailureDomain
-	// CallAddress takes callers' requests.
+	// CallAddress is the address for callers' requests.
 	CallAddress string
-	// Capacity is the processor time that the daemon has, in hundredths of a core.
+	// Capacity is the processor time available to the daemon, in hundredths of a core.
 	Capacity uint16
 }
 
@@ -51,13 +52,13 @@
 	return rumour.Status > old.Status
 }
 
-// Heartbeat proves that its sender is alive and carries what spreads.
+// Heartbeat shows that its sender is alive and carries rumours.
 type Heartbeat struct {
 	Self    Rumour
 	Number  berylspoke.EntryNumber
 	Serving bool
-	// Sync asks the receiver for all it knows, unless Digest, if set, shows that
-	// both know the same.
+	// Sync requests all rumours that the receiver knows, unless Digest is set and shows
+	// that both know the same.
 	Sync    bool
 	Digest  uint64
 	Rumours []Rumour
--- a/core/berylmember/spread.go
+++ b/core/berylmember/spread.go
@@ -2,11 +2,12 @@
 
 // This file defines which rumours a heartbeat carries.
 
-// take removes the rumours that go out now; the rest waits for the next beat.
-func (table *Table) take() []Rumour {
+// takePending returns the rumours for the next heartbeat and counts down their repetitions;
+// rumours beyond rumoursPerHeartbeat wait for a later one.
+func (table *Table) takePending() []Rumour {
 	var rumours []Rumour
 	for id := range table.pending {
-		if len(rumours) == rumoursPerBeat {
+		if len(rumours) == rumoursPerHeartbeat {
 			break
 		}
 		if member := table.members[id]; member != nil {
@@ -20,7 +21,7 @@
 	return rumours
 }
 
-func (table *Table) rumours(limit int) []Rumour {
+func (table *Table) knownRumours(limit int) []Rumour {
 	var rumours []Rumour
 	for _, member := range table.members {
 		if len(rumours) < limit && member != table.self && member.Rumour.Process.Incarnation != 0 {
@@ -30,17 +31,17 @@
 	return rumours
 }
 
-// lost lists the rumours of daemons that are not believed alive.
-func (table *Table) lost() []Rumour {
-	var lost []Rumour
+// notAlive lists the rumours of daemons that are suspect or dead.
+func (table *Table) notAlive() []Rumour {
+	var notAlive []Rumour
 	for _, member := range table.All() {
 		if member.Rumour.Status != Alive {
-			lost = append(lost, member.Rumour)
+			notAlive = append(notAlive, member.Rumour)
 		}
 	}
-	return lost
+	return notAlive
 }
 
-func (table *Table) beat(rumours []Rumour) Heartbeat {
+func (table *Table) heartbeat(rumours []Rumour) Heartbeat {
 	return Heartbeat{Self: table.self.Rumour, Rumours: rumours}
 }
--- a/core/berylmember/table.go
+++ b/core/berylmember/table.go
@@ -12,66 +12,68 @@
 	"berylspoke"
 )
 
-// Options are the times of failure detection.
+// Options are the timings of failure detection.
 type Options struct {
 	// Interval is the time between two heartbeats on one link.
 	Interval time.Duration
 	// SuspectAfter is the silence after which a monitor suspects a daemon.
 	SuspectAfter time.Duration
-	// DeadAfter is the time a suspicion stands unrefuted before it counts.
+	// DeadAfter is the time for which a suspicion can be refuted before the daemon counts
+	// as dead.
 	DeadAfter time.Duration
-	// ReviveEvery is the time between two heartbeats to a dead neighbour.
-	ReviveEvery time.Duration
-	// Open tables have no list of VMs: whoever is heard of belongs to the fleet,
-	// until it has been dead for ForgetAfter.
+	// RecheckInterval is the time between two heartbeats to a dead neighbour, and between
+	// two heartbeats that check which daemons are not alive.
+	RecheckInterval time.Duration
+	// Open tables have no list of VMs: every daemon that a message names belongs to the
+	// fleet, until it has been dead for ForgetAfter.
 	Open        bool
 	ForgetAfter time.Duration
 }
 
-// DefaultOptions detects a lost daemon in about four seconds.
+// DefaultOptions returns timings that detect a lost daemon in about four seconds.
 func DefaultOptions() Options {
 	return Options{
-		Interval:     time.Second,
-		SuspectAfter: 2500 * time.Millisecond,
-		DeadAfter:    time.Second,
-		ReviveEvery:  4 * time.Second,
-		ForgetAfter:  time.Minute,
+		Interval:        time.Second,
+		SuspectAfter:    2500 * time.Millisecond,
+		DeadAfter:       time.Second,
+		RecheckInterval: 4 * time.Second,
+		ForgetAfter:     time.Minute,
 	}
 }
 
 const (
-	// rumourRounds is how often one rumour goes out on each link; a repeat
-	// covers a lost datagram.
+	// rumourRounds is how often a rumour is sent on each link; the repetition covers a
+	// lost datagram.
 	rumourRounds = 2
-	// rumoursPerBeat keeps a heartbeat within one datagram.
-	rumoursPerBeat = 16
+	// rumoursPerHeartbeat keeps a heartbeat within one datagram.
+	rumoursPerHeartbeat = 16
 )
 
 // Member is one daemon as this one knows it.
 type Member struct {
-	VM      berylspoke.VM
-	Rumour  Rumour
-	Listed  bool
-	Heard   time.Time
-	Changed time.Time
-	// Number is the last configuration entry the member said it has.
+	VM       berylspoke.VM
+	Rumour   Rumour
+	Listed   bool
+	LastSeen time.Time
+	Changed  time.Time
+	// Number is the last configuration entry that the member reported to have.
 	Number  berylspoke.EntryNumber
 	Serving bool
 }
 
 // Table is the membership as one daemon knows it.
 type Table struct {
-	options  Options
-	self     *Member
-	members  map[berylspoke.VMID]*Member
-	pending  map[berylspoke.VMID]int
-	out, in  []berylspoke.VMID
-	watched  map[berylspoke.VMID]time.Time
-	lastBeat time.Time
-	revived  time.Time
-	urgent   bool
-	live     []berylspoke.VMID
-	// earlier is the highest incarnation of this daemon that peers told of.
+	options        Options
+	self           *Member
+	members        map[berylspoke.VMID]*Member
+	pending        map[berylspoke.VMID]int
+	out, in        []berylspoke.VMID
+	monitoredSince map[berylspoke.VMID]time.Time
+	lastHeartbeat  time.Time
+	lastRecheck    time.Time
+	urgent         bool
+	live           []berylspoke.VMID
+	// earlier is the highest incarnation of this daemon that peers reported.
 	earlier berylspoke.Incarnation
 }
 
@@ -82,13 +84,13 @@
 	if options.Open {
 		rumour.Place = Place{FailureDomain: vm.FailureDomain, CallAddress: vm.CallAddress}
 	}
-	self := &Member{VM: vm, Rumour: rumour, Listed: true, Heard: now, Serving: true}
+	self := &Member{VM: vm, Rumour: rumour, Listed: true, LastSeen: now, Serving: true}
 	table := &Table{
-		options: options,
-		self:    self,
-		members: map[berylspoke.VMID]*Member{vm.ID: self},
-		pending: map[berylspoke.VMID]int{vm.ID: rumourRounds},
-		watched: make(map[berylspoke.VMID]time.Time),
+		options:        options,
+		self:           self,
+		members:        map[berylspoke.VMID]*Member{vm.ID: self},
+		pending:        map[berylspoke.VMID]int{vm.ID: rumourRounds},
+		monitoredSince: make(map[berylspoke.VMID]time.Time),
 	}
 	table.relink(now)
 	return table
@@ -101,11 +103,11 @@
 func (table *Table) Leave(now time.Time) {
 	table.self.Rumour.Leaving = true
 	table.self.Rumour.Counter++
-	table.spread(table.self.VM.ID)
+	table.enqueue(table.self.VM.ID)
 	table.relink(now)
 }
 
-// SetListed takes the platform's list; a VM that is not on it holds no role.
+// SetListed applies the platform's list of VMs; a VM that is not on it holds no role.
 func (table *Table) SetListed(now time.Time, vms []berylspoke.VM) {
 	listed := make(map[berylspoke.VMID]bool, len(vms))
 	for _, vm := range vms {
@@ -129,12 +131,12 @@
 	table.relink(now)
 }
 
-// Join adds VMs that may belong to the fleet; they are greeted until they answer
-// or count as dead.
+// Join adds VMs that may belong to the fleet; they receive heartbeats, and count as dead
+// if they do not answer.
 func (table *Table) Join(now time.Time, vms []berylspoke.VMID) {
 	for _, vm := range vms {
-		if member := table.member(vm); member.Heard.IsZero() {
-			member.Listed, member.Heard = true, now
+		if member := table.member(vm); member.LastSeen.IsZero() {
+			member.Listed, member.LastSeen = true, now
 		}
 	}
 	table.relink(now)
@@ -163,27 +165,27 @@
 // Live returns the listed VMs that are neither leaving nor dead, sorted by id.
 func (table *Table) Live() []berylspoke.VMID { return table.live }
 
-// Announce tells the fleet where this daemon takes callers' requests, and with
-// how much processor time.
+// Announce spreads the address at which this daemon takes callers' requests, and its
+// processor time in hundredths of a core.
 func (table *Table) Announce(callAddress string, capacity uint16) {
 	table.self.Rumour.Place.Capacity = capacity
 	table.self.Rumour.Place.CallAddress = callAddress
 	table.self.VM.CallAddress = callAddress
 	table.self.Rumour.Counter++
-	table.spread(table.self.VM.ID)
+	table.enqueue(table.self.VM.ID)
 }
 
-// Sync returns a heartbeat that asks its receiver for all it knows if that differs
-// from what is known here.
+// Sync returns a heartbeat that requests all that its receiver knows if that differs from
+// what is known here.
 func (table *Table) Sync() Heartbeat {
-	beat := table.beat(nil)
-	beat.Sync, beat.Digest = true, table.digest()
-	return beat
+	heartbeat := table.heartbeat(nil)
+	heartbeat.Sync, heartbeat.Digest = true, table.digest()
+	return heartbeat
 }
 
-// digest returns a hash of what is believed of the live daemons. Two that believe
-// the same need not tell each other: in steady state that is nearly always so, and
-// all that is known grows with the fleet.
+// digest returns a hash of what is believed of the live daemons. Daemons with the same
+// beliefs need not exchange them: in steady state that is nearly always the case, and the
+// size of all beliefs grows with the fleet.
 func (table *Table) digest() uint64 {
 	var digest uint64
 	for id, member := range table.members {
@@ -210,10 +212,10 @@
 	return both
 }
 
-// Monitored returns the VMs whose heartbeats this daemon waits for.
+// Monitored returns the VMs whose heartbeats this daemon expects.
 func (table *Table) Monitored() []berylspoke.VMID { return table.in }
 
-// All returns every known VM sorted by id.
+// All returns every known member sorted by id.
 func (table *Table) All() []*Member {
 	all := make([]*Member, 0, len(table.members))
 	for _, member := range table.members {
@@ -223,7 +225,7 @@
 	return all
 }
 
-// relink recomputes the live list and the links after a change.
+// relink recomputes the live VMs and the links after a change.
 func (table *Table) relink(now time.Time) {
 	var live, linked []berylspoke.VMID
 	for id, member := range table.members {
@@ -238,86 +240,87 @@
 	sort.Slice(live, func(i, j int) bool { return live[i] < live[j] })
 	table.live = live
 	table.out, table.in = links(table.self.VM.ID, linked)
-	watched := make(map[berylspoke.VMID]time.Time, len(table.in))
+	monitoredSince := make(map[berylspoke.VMID]time.Time, len(table.in))
 	for _, id := range table.in {
-		since, ok := table.watched[id]
+		since, ok := table.monitoredSince[id]
 		if !ok {
 			since = now
 		}
-		watched[id] = since
+		monitoredSince[id] = since
 	}
-	table.watched = watched
+	table.monitoredSince = monitoredSince
 }
 
-func (table *Table) spread(id berylspoke.VMID) {
+func (table *Table) enqueue(id berylspoke.VMID) {
 	table.pending[id] = rumourRounds
 	table.urgent = true
 }
 
-// Hear takes a heartbeat and returns the reply to send, if any.
-func (table *Table) Hear(now time.Time, beat Heartbeat) *Heartbeat {
-	from := beat.Self.Process.VM
+// Hear applies a heartbeat and returns the reply to send, if any.
+func (table *Table) Hear(now time.Time, heartbeat Heartbeat) *Heartbeat {
+	from := heartbeat.Self.Process.VM
 	member := table.members[from]
 	if member == nil {
-		// A new VM may start before the platform lists it; it holds no role
-		// until listed, but its heartbeat must not be lost on us.
+		// A new VM may start before the platform lists it; it holds no role until it is
+		// listed, but its heartbeat must count.
 		member = table.member(from)
 	}
-	if beat.Self.Process.Incarnation < member.Rumour.Process.Incarnation {
-		// The clock of the VM went back before its daemon started anew. Unless it
-		// hears of its earlier incarnation, nobody would believe it.
-		reply := table.beat([]Rumour{member.Rumour})
+	if heartbeat.Self.Process.Incarnation < member.Rumour.Process.Incarnation {
+		// The clock of the VM stepped back before its daemon restarted. Unless the daemon
+		// learns its earlier incarnation, every member would ignore it.
+		reply := table.heartbeat([]Rumour{member.Rumour})
 		return &reply
 	}
-	member.Heard, member.Number, member.Serving = now, beat.Number, beat.Serving
-	wronged := member.Rumour.Status != Alive && member.Rumour.Process == beat.Self.Process &&
-		member.Rumour.Counter >= beat.Self.Counter
-	counter, before := table.self.Rumour.Counter, member.Rumour.Status
-	table.accept(now, beat.Self)
-	corrections := table.corrections(beat.Rumours)
-	for _, rumour := range beat.Rumours {
-		table.accept(now, rumour)
+	member.LastSeen, member.Number, member.Serving = now, heartbeat.Number, heartbeat.Serving
+	disputed := member.Rumour.Status != Alive && member.Rumour.Process == heartbeat.Self.Process &&
+		member.Rumour.Counter >= heartbeat.Self.Counter
+	oldCounter, oldStatus := table.self.Rumour.Counter, member.Rumour.Status
+	table.apply(now, heartbeat.Self)
+	corrections := table.corrections(heartbeat.Rumours)
+	for _, rumour := range heartbeat.Rumours {
+		table.apply(now, rumour)
 	}
-	if beat.Sync && beat.Digest != 0 && beat.Digest == table.digest() {
+	if heartbeat.Sync && heartbeat.Digest != 0 && heartbeat.Digest == table.digest() {
 		return nil
 	}
-	if beat.Sync {
-		reply := table.beat(table.rumours(len(table.members)))
+	if heartbeat.Sync {
+		reply := table.heartbeat(table.knownRumours(len(table.members)))
 		return &reply
 	}
-	if before == Dead && member.Rumour.Status == Alive {
-		// A healed partition: the other side hears here whom this one believes
-		// dead, and its daemons refute that. Greetings alone reach only the few
-		// daemons that are neighbours across the cut.
-		reply := table.beat(table.lost())
+	if oldStatus == Dead && member.Rumour.Status == Alive {
+		// After a healed partition the other side learns from this reply whom this side
+		// considers dead, and its daemons refute that. The heartbeats to dead neighbours
+		// alone reach only the few daemons that are ring neighbours across the partition.
+		reply := table.heartbeat(table.notAlive())
 		return &reply
 	}
-	if table.self.Rumour.Counter != counter || len(corrections) > 0 {
-		reply := table.beat(corrections)
+	if table.self.Rumour.Counter != oldCounter || len(corrections) > 0 {
+		reply := table.heartbeat(corrections)
 		return &reply
 	}
-	if wronged {
-		// A rejoined daemon learns here that it was declared dead, and
-		// refutes it with a higher counter.
-		reply := table.beat([]Rumour{member.Rumour})
+	if disputed {
+		// The rejoined daemon learns from this reply that it was declared suspect or
+		// dead, and refutes that with a higher counter.
+		reply := table.heartbeat([]Rumour{member.Rumour})
 		return &reply
 	}
 	return nil
 }
 
-// corrections lists what is known better here than in rumours of lost daemons.
+// corrections returns the rumours known here that override given rumours of suspect or
+// dead daemons.
 func (table *Table) corrections(rumours []Rumour) []Rumour {
-	var better []Rumour
+	var newer []Rumour
 	for _, rumour := range rumours {
 		member := table.members[rumour.Process.VM]
 		if member != nil && member != table.self && rumour.Status != Alive && member.Rumour.overrides(rumour) {
-			better = append(better, member.Rumour)
+			newer = append(newer, member.Rumour)
 		}
 	}
-	return better
+	return newer
 }
 
-func (table *Table) accept(now time.Time, rumour Rumour) {
+func (table *Table) apply(now time.Time, rumour Rumour) {
 	id := rumour.Process.VM
 	if id == table.self.VM.ID {
 		table.refute(rumour)
@@ -335,13 +338,13 @@
 		member.VM.FailureDomain, member.VM.CallAddress = rumour.Place.FailureDomain, rumour.Place.CallAddress
 	}
 	if rumour.Status == Alive {
-		member.Heard = now
+		member.LastSeen = now
 	}
-	table.spread(id)
+	table.enqueue(id)
 	table.relink(now)
 }
 
-// Earlier returns the highest incarnation that peers know of an earlier run of this
+// Earlier returns the highest incarnation that peers report of an earlier run of this
 // daemon, zero if none is above its own.
 func (table *Table) Earlier() berylspoke.Incarnation {
 	if table.earlier <= table.self.Rumour.Process.Incarnation {
@@ -350,14 +353,14 @@
 	return table.earlier
 }
 
-// Succeed takes an incarnation above that of an earlier run.
+// Succeed sets an incarnation above that of an earlier run.
 func (table *Table) Succeed(incarnation berylspoke.Incarnation) {
 	table.self.Rumour.Process.Incarnation = incarnation
-	table.spread(table.self.VM.ID)
+	table.enqueue(table.self.VM.ID)
 }
 
-// refute answers a rumour that wrongs this daemon: a monitor behind a cut link,
-// or a pause of ours, made the fleet believe us dead.
+// refute overrides a false rumour about this daemon, which a monitor behind a partition
+// or a pause of this daemon caused.
 func (table *Table) refute(rumour Rumour) {
 	if rumour.Process.Incarnation > table.self.Rumour.Process.Incarnation {
 		table.earlier = max(table.earlier, rumour.Process.Incarnation)
@@ -371,6 +374,6 @@
 	}
 	if rumour.Counter >= table.self.Rumour.Counter {
 		table.self.Rumour.Counter = rumour.Counter + 1
-		table.spread(table.self.VM.ID)
+		table.enqueue(table.self.VM.ID)
 	}
 }
