--- a/core/berylticket/messages.go
+++ b/core/berylticket/messages.go
@@ -1,34 +1,33 @@
 package berylticket
 
-// This file defines the messages between owners, witnesses and settlers.
+// This file defines the messages between owners, witnesses and daemons that settle an id.
 
 import (
 	"berylspoke"
 )
 
-// PermitRequest asks the witness for the permit to dispatch an id.
+// PermitRequest requests the permit to dispatch an id from the witness.
 type PermitRequest struct{ ID CallID }
 
-// PermitAnswer grants or refuses the permit for good.
+// PermitAnswer grants or denies the permit; the decision is final.
 type PermitAnswer struct {
 	ID      CallID
 	Granted bool
 }
 
-// SettleRequest asks the owner what became of an id.
+// SettleRequest asks the owner for the status of an id.
 type SettleRequest struct {
 	ID    CallID
 	Token uint64
 }
 
-// CloseRequest asks the witness to close an id that its owner does not answer
-// for.
+// CloseRequest asks the witness to close an id whose owner does not answer.
 type CloseRequest struct {
 	ID    CallID
 	Token uint64
 }
 
-// SettleAnswer is the owner's or the witness's word on an id.
+// SettleAnswer reports the status of an id at its owner or its witness.
 type SettleAnswer struct {
 	ID        CallID
 	Token     uint64
@@ -36,26 +35,26 @@
 	ByWitness bool
 }
 
-// Standing is what one process knows of an id.
+// Standing is the state of an id as one process knows it.
 type Standing uint8
 
-// The standings of an id.
+// The statuses of an id.
 const (
 	// Unknowable means that the process named in the id is gone.
 	Unknowable Standing = iota
-	// Pending means that the owner has not decided or finished yet.
+	// Pending means that the owner has not finished the id yet.
 	Pending
-	// StandsNotRun means that the id never ran and never will.
+	// StandsNotRun means that the id has not run and never will.
 	StandsNotRun
-	// StandsRan means that the target executed the id.
+	// StandsRan means that a target executed the id.
 	StandsRan
-	// StandsMayHaveRun means that nobody can tell any more.
+	// StandsMayHaveRun means that nobody can tell whether the id ran.
 	StandsMayHaveRun
 )
 
-// Verdict returns the verdict of a standing; a pending one may have run.
-func (standing Standing) Verdict() berylspoke.Verdict {
-	switch standing {
+// Verdict returns the verdict of a status; a pending id may have run.
+func (status Standing) Verdict() berylspoke.Verdict {
+	switch status {
 	case StandsNotRun:
 		return berylspoke.NotRun
 	case StandsRan:
--- a/core/berylticket/owner.go
+++ b/core/berylticket/owner.go
@@ -1,6 +1,6 @@
 package berylticket
 
-// This file defines the owner that alone may dispatch the ids of its tickets.
+// This file defines the owner, which alone may dispatch the ids of its tickets.
 
 import (
 	"time"
@@ -8,22 +8,22 @@
 	"berylspoke"
 )
 
-// Stage is how far an owner got with one id.
+// Stage is how far an id has progressed at its owner.
 type Stage uint8
 
 // The stages of an id at its owner.
 const (
 	// Queued ids wait for a slot; they have not run and may still be closed.
 	Queued Stage = iota + 1
-	// Asking ids wait for the witness's permit.
-	Asking
+	// PermitRequested ids wait for the witness's permit.
+	PermitRequested
 	// Dispatched ids may have reached a target.
 	Dispatched
 	// Finished ids have a verdict.
 	Finished
 )
 
-// Record is what an owner knows of one id.
+// Record is the state of an id at its owner.
 type Record struct {
 	Stage   Stage
 	Verdict berylspoke.Verdict
@@ -31,53 +31,54 @@
 	Changed time.Time
 }
 
-type ownedTicket struct {
+type ticketRecords struct {
 	records map[uint32]*Record
 }
 
-// Owner mints tickets and keeps the records of the ids that were used.
+// Owner mints tickets and keeps the records of the ids used.
 type Owner struct {
-	self      berylspoke.Process
-	bound     int
-	minted    uint64
-	watermark uint64
-	tickets   map[uint64]*ownedTicket
-	records   int
-	// answers are the finished ids whose answers are kept, oldest first.
-	answers []CallID
-	bytes   int
+	self       berylspoke.Process
+	bound      int
+	lastSerial uint64
+	watermark  uint64
+	tickets    map[uint64]*ticketRecords
+	records    int
+	// answers are the finished ids whose answer bodies are kept, oldest first.
+	answers     []CallID
+	answerBytes int
 }
 
-// answerBytes bounds the bodies of kept answers; beyond it the oldest are
+// maxAnswerBytes bounds the bodies of kept answers; beyond it the oldest bodies are
 // dropped and only their verdicts stay.
-const answerBytes = 4 << 20
+const maxAnswerBytes = 4 << 20
 
-// NewOwner returns an owner that keeps up to bound records.
+// NewOwner returns an owner that keeps up to bound records, and more only while the
+// oldest ticket has unfinished ids.
 func NewOwner(self berylspoke.Process, bound int) *Owner {
-	return &Owner{self: self, bound: bound, tickets: make(map[uint64]*ownedTicket)}
+	return &Owner{self: self, bound: bound, tickets: make(map[uint64]*ticketRecords)}
 }
 
 // Len returns the number of records kept.
 func (owner *Owner) Len() int { return owner.records }
 
-// Mint returns a new ticket witnessed by the given process.
+// Mint returns a new ticket with the given witness.
 func (owner *Owner) Mint(witness berylspoke.Process) Ticket {
-	owner.minted++
-	return Ticket{Owner: owner.self, Witness: witness, Serial: owner.minted}
+	owner.lastSerial++
+	return Ticket{Owner: owner.self, Witness: witness, Serial: owner.lastSerial}
 }
 
-// Owns says whether this process alone may dispatch the id.
+// Owns reports whether this process alone may dispatch the id.
 func (owner *Owner) Owns(id CallID) bool { return id.Ticket.Owner == owner.self }
 
-// Begin returns the record of an id and whether it is new; a nil record means
-// that the id lies below the watermark and its outcome is forgotten.
+// Begin returns the record of an id, created if needed, and whether it is new; a nil
+// record means that the id lies below the watermark and its outcome is lost.
 func (owner *Owner) Begin(now time.Time, id CallID) (*Record, bool) {
-	if id.Ticket.Serial <= owner.watermark || id.Ticket.Serial > owner.minted {
+	if id.Ticket.Serial <= owner.watermark || id.Ticket.Serial > owner.lastSerial {
 		return nil, false
 	}
 	ticket := owner.tickets[id.Ticket.Serial]
 	if ticket == nil {
-		ticket = &ownedTicket{records: make(map[uint32]*Record)}
+		ticket = &ticketRecords{records: make(map[uint32]*Record)}
 		owner.tickets[id.Ticket.Serial] = ticket
 	}
 	if record := ticket.records[id.Number]; record != nil {
@@ -90,7 +91,7 @@
 	return record, true
 }
 
-// Record returns what is known of an id without beginning it.
+// Record returns the record of an id, or nil.
 func (owner *Owner) Record(id CallID) *Record {
 	if ticket := owner.tickets[id.Ticket.Serial]; ticket != nil {
 		return ticket.records[id.Number]
@@ -98,19 +99,19 @@
 	return nil
 }
 
-// trim forgets the tickets of the lowest serials, finished ones only, and
-// raises the watermark so that none of their ids can begin again.
+// trim drops the records of the lowest serials while all ids of such a ticket are
+// finished, and raises the watermark so that none of their ids get a record again.
 func (owner *Owner) trim() {
 	for owner.records > owner.bound {
 		lowest := ^uint64(0)
 		for serial := range owner.tickets {
 			lowest = min(lowest, serial)
 		}
-		if owner.tickets[lowest].open() {
+		if owner.tickets[lowest].hasUnfinished() {
 			return
 		}
 		for _, record := range owner.tickets[lowest].records {
-			owner.bytes -= len(record.Answer.Body)
+			owner.answerBytes -= len(record.Answer.Body)
 			record.Answer.Body = nil
 		}
 		owner.records -= len(owner.tickets[lowest].records)
@@ -119,7 +120,7 @@
 	}
 }
 
-func (ticket *ownedTicket) open() bool {
+func (ticket *ticketRecords) hasUnfinished() bool {
 	for _, record := range ticket.records {
 		if record.Stage != Finished {
 			return true
@@ -128,23 +129,23 @@
 	return false
 }
 
-// Ask moves a queued id on to asking for its permit; false means that the id
-// was settled meanwhile and must not be dispatched. An id without a witness is
+// Ask advances a queued id to requesting its permit; false means that the id was settled
+// meanwhile and must not be dispatched. An id without a witness needs no permit and is
 // dispatched at once.
 func (owner *Owner) Ask(now time.Time, id CallID) bool {
 	record := owner.Record(id)
 	if record == nil || record.Stage != Queued {
 		return false
 	}
-	record.Stage, record.Changed = Asking, now
+	record.Stage, record.Changed = PermitRequested, now
 	return true
 }
 
-// Permit takes the witness's answer and says whether to dispatch now. Answers
-// that come twice, or after the owner gave the id up, change nothing.
-func (owner *Owner) Permit(now time.Time, id CallID, granted bool) (dispatch, refused bool) {
+// Permit applies the witness's answer and reports whether to dispatch now. Repeated
+// answers, and answers after the owner abandoned the id, change nothing.
+func (owner *Owner) Permit(now time.Time, id CallID, granted bool) (dispatch, denied bool) {
 	record := owner.Record(id)
-	if !owner.Owns(id) || record == nil || record.Stage != Asking {
+	if !owner.Owns(id) || record == nil || record.Stage != PermitRequested {
 		return false, false
 	}
 	if !granted {
@@ -155,8 +156,8 @@
 	return true, false
 }
 
-// GiveUp settles an id that was not dispatched as not run; it returns false if
-// the id was dispatched or finished before.
+// GiveUp finishes an id that was not dispatched as not run; it returns false if the id
+// was dispatched or finished before.
 func (owner *Owner) GiveUp(now time.Time, id CallID) bool {
 	record := owner.Record(id)
 	if record == nil || record.Stage == Dispatched || record.Stage == Finished {
@@ -181,27 +182,27 @@
 		return
 	}
 	owner.answers = append(owner.answers, id)
-	owner.bytes += size
-	for owner.bytes > answerBytes && len(owner.answers) > 1 {
+	owner.answerBytes += size
+	for owner.answerBytes > maxAnswerBytes && len(owner.answers) > 1 {
 		if record := owner.Record(owner.answers[0]); record != nil {
-			owner.bytes -= len(record.Answer.Body)
+			owner.answerBytes -= len(record.Answer.Body)
 			record.Answer.Body = nil
 		}
 		owner.answers = owner.answers[1:]
 	}
 }
 
-// Settle tells what became of an id. An id that was never begun is closed by
-// this: a request that arrives later, delayed on its way, finds it finished.
+// Settle returns the status of an id. It closes an id that has no record yet: a delayed
+// request that arrives later finds it finished.
 func (owner *Owner) Settle(now time.Time, id CallID) Standing {
 	if !owner.Owns(id) {
 		return Unknowable
 	}
-	record, began := owner.Begin(now, id)
+	record, isNew := owner.Begin(now, id)
 	if record == nil {
 		return StandsMayHaveRun
 	}
-	if began {
+	if isNew {
 		owner.Finish(now, id, berylspoke.NotRun, berylspoke.Answer{})
 	}
 	if record.Stage != Finished {
--- a/core/berylticket/ticket.go
+++ b/core/berylticket/ticket.go
@@ -15,21 +15,21 @@
 	"berylspoke"
 )
 
-// Ticket names the processes that together may run the ids under it; a zero
-// witness means that the owner found none.
+// Ticket names the processes that together may dispatch the ids under it; a zero Witness
+// means that the owner found none.
 type Ticket struct {
 	Owner   berylspoke.Process
 	Witness berylspoke.Process
 	Serial  uint64
 }
 
-// CallID is one non-idempotent request under a ticket.
+// CallID identifies one non-idempotent request under a ticket.
 type CallID struct {
 	Ticket Ticket
 	Number uint32
 }
 
-// MaxCalls is the number of requests that one ticket can name.
+// MaxCalls is the number of requests that one ticket can number.
 const MaxCalls = 1024
 
 const (
@@ -37,8 +37,8 @@
 	sealBytes = 12
 )
 
-// Sealer seals tickets with the fleet's key, so that a caller can neither make
-// one up nor use that of another organisation.
+// Sealer seals tickets with the fleet's key, so that a caller can neither forge a ticket
+// nor use one of another organisation.
 type Sealer struct{ key []byte }
 
 // NewSealer returns a sealer for the fleet's key.
@@ -50,7 +50,7 @@
 	return base64.RawURLEncoding.EncodeToString(mac.Sum(nil)[:sealBytes])
 }
 
-// Format returns the ticket as the callers of an organisation get it.
+// Format returns a sealed ticket for the callers of an organisation.
 func (sealer *Sealer) Format(organisation berylspoke.OrganisationID, ticket Ticket) string {
 	body := strings.Join([]string{
 		string(ticket.Owner.VM), ticket.Owner.Incarnation.String(),
@@ -65,7 +65,7 @@
 	return ticket + separator + strconv.FormatUint(uint64(number), 10)
 }
 
-// ParseCall reads a request id and refuses one of another organisation.
+// ParseCall parses a request id and rejects one without the seal of the organisation.
 func (sealer *Sealer) ParseCall(organisation berylspoke.OrganisationID, text string) (CallID, error) {
 	fields := strings.Split(text, separator)
 	if len(fields) != 7 {
--- a/core/berylticket/ticket_test.go
+++ b/core/berylticket/ticket_test.go
@@ -10,9 +10,9 @@
 	"berylspoke"
 )
 
-// world is one owner VM and one witness VM with every message that was ever
-// sent between them; any of them may arrive at any later time, again and again.
-type world struct {
+// simulation is one owner VM, one witness VM and every message ever sent between them;
+// any of them may arrive at any later time, repeatedly.
+type simulation struct {
 	now      time.Time
 	owner    *Owner
 	witness  *Witness
@@ -27,96 +27,96 @@
 
 const smallBound = 1
 
-func (world *world) startOwner() {
-	world.starts++
-	world.owner = NewOwner(berylspoke.Process{VM: "owner", Incarnation: world.starts}, smallBound)
+func (simulation *simulation) startOwner() {
+	simulation.starts++
+	simulation.owner = NewOwner(berylspoke.Process{VM: "owner", Incarnation: simulation.starts}, smallBound)
 }
 
-func (world *world) startWitness() {
-	world.starts++
-	world.witness = NewWitness(berylspoke.Process{VM: "witness", Incarnation: world.starts}, smallBound)
+func (simulation *simulation) startWitness() {
+	simulation.starts++
+	simulation.witness = NewWitness(berylspoke.Process{VM: "witness", Incarnation: simulation.starts}, smallBound)
 }
 
-func (world *world) draw(t *rapid.T) CallID {
-	return world.ids[rapid.IntRange(0, len(world.ids)-1).Draw(t, "id")]
+func (simulation *simulation) drawID(t *rapid.T) CallID {
+	return simulation.ids[rapid.IntRange(0, len(simulation.ids)-1).Draw(t, "id")]
 }
 
-// A booking is posted once or never, and what was reported as not run never
-// runs, whatever order calls, permits, closes, crashes and evictions come in.
+// A request runs at most once, and one reported as not run never runs, in whatever order
+// calls, permits, closes, crashes and evictions occur.
 func TestAtMostOnceInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		world := &world{now: time.Unix(0, 0), runs: make(map[CallID]int), notRun: make(map[CallID]bool)}
-		world.startOwner()
-		world.startWitness()
+		simulation := &simulation{now: time.Unix(0, 0), runs: make(map[CallID]int), notRun: make(map[CallID]bool)}
+		simulation.startOwner()
+		simulation.startWitness()
 		mint := func(*rapid.T) {
-			ticket := world.owner.Mint(world.witness.self)
-			world.ids = append(world.ids, CallID{ticket, 0}, CallID{ticket, 1})
+			ticket := simulation.owner.Mint(simulation.witness.self)
+			simulation.ids = append(simulation.ids, CallID{ticket, 0}, CallID{ticket, 1})
 		}
 		mint(t)
 		t.Repeat(map[string]func(*rapid.T){
 			"mint": mint,
 			"call": func(t *rapid.T) {
-				if id := world.draw(t); world.owner.Owns(id) {
-					world.owner.Begin(world.now, id)
+				if id := simulation.drawID(t); simulation.owner.Owns(id) {
+					simulation.owner.Begin(simulation.now, id)
 				}
 			},
 			"ask": func(t *rapid.T) {
-				if id := world.draw(t); world.owner.Owns(id) && world.owner.Ask(world.now, id) {
-					world.permits = append(world.permits, PermitRequest{id})
+				if id := simulation.drawID(t); simulation.owner.Owns(id) && simulation.owner.Ask(simulation.now, id) {
+					simulation.permits = append(simulation.permits, PermitRequest{id})
 				}
 			},
 			"giveUp": func(t *rapid.T) {
-				if id := world.draw(t); world.owner.Owns(id) && world.owner.GiveUp(world.now, id) {
-					world.notRun[id] = true
+				if id := simulation.drawID(t); simulation.owner.Owns(id) && simulation.owner.GiveUp(simulation.now, id) {
+					simulation.notRun[id] = true
 				}
 			},
 			"permit": func(t *rapid.T) {
-				if len(world.permits) == 0 {
+				if len(simulation.permits) == 0 {
 					return
 				}
-				id := world.permits[rapid.IntRange(0, len(world.permits)-1).Draw(t, "permit")].ID
-				world.answers = append(world.answers, PermitAnswer{id, world.witness.Permit(id)})
+				id := simulation.permits[rapid.IntRange(0, len(simulation.permits)-1).Draw(t, "permit")].ID
+				simulation.answers = append(simulation.answers, PermitAnswer{id, simulation.witness.Permit(id)})
 			},
 			"answer": func(t *rapid.T) {
-				if len(world.answers) == 0 {
+				if len(simulation.answers) == 0 {
 					return
 				}
-				answer := world.answers[rapid.IntRange(0, len(world.answers)-1).Draw(t, "answer")]
-				dispatch, refused := world.owner.Permit(world.now, answer.ID, answer.Granted)
+				answer := simulation.answers[rapid.IntRange(0, len(simulation.answers)-1).Draw(t, "answer")]
+				dispatch, denied := simulation.owner.Permit(simulation.now, answer.ID, answer.Granted)
 				if dispatch {
-					world.inFlight = append(world.inFlight, answer.ID)
+					simulation.inFlight = append(simulation.inFlight, answer.ID)
 				}
-				if refused {
-					world.notRun[answer.ID] = true
+				if denied {
+					simulation.notRun[answer.ID] = true
 				}
 			},
 			"execute": func(*rapid.T) {
-				for _, id := range world.inFlight {
-					world.runs[id]++
-					if world.owner.Owns(id) {
-						world.owner.Finish(world.now, id, berylspoke.Ran, berylspoke.Answer{})
+				for _, id := range simulation.inFlight {
+					simulation.runs[id]++
+					if simulation.owner.Owns(id) {
+						simulation.owner.Finish(simulation.now, id, berylspoke.Ran, berylspoke.Answer{})
 					}
 				}
-				world.inFlight = nil
+				simulation.inFlight = nil
 			},
 			"settleAtOwner": func(t *rapid.T) {
-				if id := world.draw(t); world.owner.Settle(world.now, id) == StandsNotRun {
-					world.notRun[id] = true
+				if id := simulation.drawID(t); simulation.owner.Settle(simulation.now, id) == StandsNotRun {
+					simulation.notRun[id] = true
 				}
 			},
 			"closeAtWitness": func(t *rapid.T) {
-				if id := world.draw(t); world.witness.Close(id) == StandsNotRun {
-					world.notRun[id] = true
+				if id := simulation.drawID(t); simulation.witness.Close(id) == StandsNotRun {
+					simulation.notRun[id] = true
 				}
 			},
-			"ownerCrashes":   func(*rapid.T) { world.startOwner() },
-			"witnessCrashes": func(*rapid.T) { world.startWitness() },
+			"ownerCrashes":   func(*rapid.T) { simulation.startOwner() },
+			"witnessCrashes": func(*rapid.T) { simulation.startWitness() },
 			"": func(t *rapid.T) {
-				for _, id := range world.ids {
-					if world.runs[id] > 1 {
-						t.Fatalf("%s ran %d times", id, world.runs[id])
+				for _, id := range simulation.ids {
+					if simulation.runs[id] > 1 {
+						t.Fatalf("%s ran %d times", id, simulation.runs[id])
 					}
-					if world.runs[id] > 0 && world.notRun[id] {
+					if simulation.runs[id] > 0 && simulation.notRun[id] {
 						t.Fatalf("%s ran and was reported as not run", id)
 					}
 				}
@@ -125,8 +125,8 @@
 	})
 }
 
-// A caller holds the id of another organisation's booking, from a log or by a
-// guess, and must learn nothing of it.
+// A caller that has the id of another organisation's request, from a log or by a guess,
+// must learn nothing about it.
 func TestSealBindsOrganisation(t *testing.T) {
 	sealer := NewSealer([]byte("fleet key of sixteen"))
 	ticket := Ticket{
--- a/core/berylticket/witness.go
+++ b/core/berylticket/witness.go
@@ -13,26 +13,26 @@
 	closed
 )
 
-// witnessed is what a witness remembers for one owner process.
-type witnessed struct {
+// ownerMarks are the marks that a witness keeps for one owner process.
+type ownerMarks struct {
 	watermark uint64
 	serials   map[uint64]map[uint32]mark
 	marks     int
 }
 
-// Witness issues permits and closes ids for the tickets that name its process.
+// Witness grants permits and closes ids for the tickets that name its process.
 type Witness struct {
 	self   berylspoke.Process
 	bound  int
-	owners map[berylspoke.Process]*witnessed
+	owners map[berylspoke.Process]*ownerMarks
 }
 
-// NewWitness returns a witness that remembers up to bound ids of each owner.
+// NewWitness returns a witness that keeps up to bound marks per owner.
 func NewWitness(self berylspoke.Process, bound int) *Witness {
-	return &Witness{self: self, bound: bound, owners: make(map[berylspoke.Process]*witnessed)}
+	return &Witness{self: self, bound: bound, owners: make(map[berylspoke.Process]*ownerMarks)}
 }
 
-// Len returns the number of ids remembered.
+// Len returns the number of marks kept.
 func (witness *Witness) Len() int {
 	count := 0
 	for _, owner := range witness.owners {
@@ -41,19 +41,19 @@
 	return count
 }
 
-// Permit decides whether the owner may dispatch the id; a repeated request gets
-// the same answer.
+// Permit reports whether the owner may dispatch the id; a repeated request gets the same
+// answer.
 func (witness *Witness) Permit(id CallID) bool {
 	if id.Ticket.Witness != witness.self {
-		// A restarted witness has forgotten what its earlier process closed. If
-		// it issued permits for that process's tickets, an id reported as not
-		// run could still run. It issues none, so the id stays not run.
+		// A restarted witness has lost what its earlier process closed. If it granted
+		// permits for tickets of that process, an id reported as not run could still run.
+		// It grants none, so the id stays not run.
 		return false
 	}
 	return witness.decide(id, permitted) == permitted
 }
 
-// Close settles the id unless it was permitted before.
+// Close closes the id unless a permit was granted before, and returns its status.
 func (witness *Witness) Close(id CallID) Standing {
 	if id.Ticket.Witness != witness.self {
 		return Unknowable
@@ -64,13 +64,13 @@
 	return StandsMayHaveRun
 }
 
-// decide marks the id by the first comer and returns the mark in force. Below
-// the watermark marks are forgotten: both sides lose there, so that neither a
-// permit nor a "not run" contradicts what was said before.
-func (witness *Witness) decide(id CallID, wish mark) mark {
+// decide sets the mark of the id unless it has one and returns the mark in force. Marks
+// below the watermark are lost: zero denies both permit and close there, so that neither
+// a permit nor a "not run" contradicts an earlier answer.
+func (witness *Witness) decide(id CallID, wanted mark) mark {
 	owner := witness.owners[id.Ticket.Owner]
 	if owner == nil {
-		owner = &witnessed{serials: make(map[uint64]map[uint32]mark)}
+		owner = &ownerMarks{serials: make(map[uint64]map[uint32]mark)}
 		witness.owners[id.Ticket.Owner] = owner
 	}
 	serial := id.Ticket.Serial
@@ -82,20 +82,20 @@
 		marks = make(map[uint32]mark)
 		owner.serials[serial] = marks
 	}
-	if have := marks[id.Number]; have != 0 {
-		return have
+	if existing := marks[id.Number]; existing != 0 {
+		return existing
 	}
-	marks[id.Number] = wish
+	marks[id.Number] = wanted
 	owner.marks++
 	owner.trim(witness.bound)
 	if serial <= owner.watermark {
 		return 0
 	}
-	return wish
+	return wanted
 }
 
-// trim raises the watermark past the lowest serials until the bound holds.
-func (owner *witnessed) trim(bound int) {
+// trim raises the watermark past the lowest serials until at most bound marks are left.
+func (owner *ownerMarks) trim(bound int) {
 	for owner.marks > bound {
 		lowest := ^uint64(0)
 		for serial := range owner.serials {
@@ -107,12 +107,12 @@
 	}
 }
 
-// Forget drops the ids of an owner process that has been replaced on its VM.
+// Forget drops the marks of an owner process that was replaced on its VM.
 //
-// The owner may be frozen rather than gone, and could wake up and ask for a
-// permit. All its serials fall below the watermark, so it gets none.
+// The owner may be frozen rather than gone, and could resume and request a permit. All
+// its serials are then below the watermark, so its request is denied.
 func (witness *Witness) Forget(owner berylspoke.Process) {
 	if held := witness.owners[owner]; held != nil {
-		*held = witnessed{watermark: ^uint64(0)}
+		*held = ownerMarks{watermark: ^uint64(0)}
 	}
 }
