--- a/core/berylconfig/config_test.go
+++ b/core/berylconfig/config_test.go
@@ -14,7 +14,7 @@
 	"berylspoke"
 )
 
-// The scripts publish patches and show what each reader makes of them.
+// The scripts publish patches and show the state of a reader after each.
 func TestFoldScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		store := NewStore()
@@ -31,7 +31,7 @@
 				store.Add(published[len(published)-1:])
 				return describe(store)
 			case "stale":
-				// A platform restored from an old copy shows a shorter history.
+				// A platform restored from a backup publishes a shorter history.
 				var upTo int
 				step.ScanArgs(t, "to", &upTo)
 				store.Add(published[:upTo])
@@ -74,9 +74,9 @@
 	return body
 }
 
-// Readers hear of the same patches from a platform that goes back and from
-// peers, in any pieces and any order. All that have heard of the same number
-// hold the same version, and none ever goes back.
+// Readers receive the same patches from a platform that goes back and from peers, in any
+// pieces and any order. All readers at the same number hold the same version, and none
+// ever goes back.
 func TestReadersAgreeAndNeverRevert(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var published []berylspoke.Published
@@ -112,21 +112,21 @@
 				before := to.State().Number
 				to.Adopt(from.Snapshot())
 				if to.State().Number < before {
-					t.Fatalf("a snapshot went back from %d to %d", before, to.State().Number)
+					t.Fatalf("a snapshot set the number back from %d to %d", before, to.State().Number)
 				}
 			},
 			"": func(t *rapid.T) {
 				for _, store := range stores {
 					state := store.State()
 					if hash, known := byNumber[state.Number]; known && hash != state.Hash {
-						t.Fatalf("two readers of number %d differ", state.Number)
+						t.Fatalf("two readers at number %d have different hashes", state.Number)
 					}
 					byNumber[state.Number] = state.Hash
 					if len(state.Declarations.Validate()) > 0 {
 						t.Fatalf("invalid declarations are in force")
 					}
 					if store.Conflicts > 0 {
-						t.Fatalf("a conflict was seen in one history")
+						t.Fatalf("a conflict was counted in one history")
 					}
 				}
 			},
@@ -134,11 +134,11 @@
 	})
 }
 
-// A daemon has been away for longer than its peers keep entries. It must get a
-// snapshot and end where they are.
+// A daemon was away for longer than its peers keep entries. It must get a snapshot and
+// reach their state.
 func TestSnapshotReplacesLostEntries(t *testing.T) {
 	ahead, behind := NewStore(), NewStore()
-	for number := range 2 * keptEntries {
+	for number := range 2 * maxEntries {
 		body := fmt.Sprintf(`{"base":%d,"organisations":{"o%d":{"weight":1,"keyDigests":[]}}}`, number, number%7)
 		ahead.Add([]berylspoke.Published{{Number: berylspoke.EntryNumber(number + 1), Body: []byte(body)}})
 	}
@@ -147,7 +147,7 @@
 	require.True(t, behind.Adopt(ahead.Snapshot()))
 	require.Equal(t, ahead.State().Hash, behind.State().Hash)
 	require.Len(t, behind.State().Declarations.Organisations, 7)
-	require.False(t, behind.Adopt([]byte(`{"number":99999}`)), "a garbled snapshot changes nothing")
+	require.False(t, behind.Adopt([]byte(`{"number":99999}`)), "a malformed snapshot changes nothing")
 }
 
 func FuzzParsePatch(f *testing.F) {
@@ -165,7 +165,7 @@
 func BenchmarkFoldPatch(b *testing.B) {
 	for _, count := range []int{10, 1000, 24_000, 100_000} {
 		b.Run(fmt.Sprintf("organisations=%d", count), func(b *testing.B) {
-			state := bigState(count)
+			state := stateOf(count)
 			body := []byte(fmt.Sprintf(`{"base":%d,"organisations":{"org-5":{"weight":3,"keyDigests":["%064x"]}}}`, state.Version, 5))
 			b.ReportAllocs()
 			b.ResetTimer()
@@ -182,7 +182,7 @@
 			b.ReportAllocs()
 			bytes := 0
 			for range b.N {
-				bytes = foldBig(NewStore(), count)
+				bytes = foldMany(NewStore(), count)
 			}
 			b.ReportMetric(float64(bytes)/float64(count), "bytes/organisation")
 			b.ReportMetric(float64(bytes)/float64(MaxPatchBytes), "values")
@@ -190,19 +190,20 @@
 	}
 }
 
-func bigState(count int) *State {
+func stateOf(count int) *State {
 	store := NewStore()
-	foldBig(store, count)
+	foldMany(store, count)
 	return store.State()
 }
 
-// foldBig declares organisations in patches of 5,000 and returns their bytes.
-func foldBig(store *Store, count int) int {
+// foldMany declares organisations in patches of 5,000 and returns the total size of the
+// patches in bytes.
+func foldMany(store *Store, count int) int {
 	const each = 5000
 	total := 0
-	for begin := 0; begin < count; begin += each {
+	for start := 0; start < count; start += each {
 		patch := &Patch{Base: store.State().Version, Organisations: make(map[berylspoke.OrganisationID]*Organisation)}
-		for i := begin; i < min(begin+each, count); i++ {
+		for i := start; i < min(start+each, count); i++ {
 			patch.Organisations[berylspoke.OrganisationID(fmt.Sprintf("org-%d", i))] = &Organisation{
 				Weight: berylspoke.Weight(1 + i%9), KeyDigests: []string{fmt.Sprintf("%064x", i)},
 			}
--- a/core/berylconfig/declarations.go
+++ b/core/berylconfig/declarations.go
@@ -12,7 +12,7 @@
 	"berylspoke"
 )
 
-// ServiceKind tells model engines from plain services.
+// ServiceKind distinguishes model engines from plain services.
 type ServiceKind string
 
 // The kinds of services.
@@ -21,30 +21,30 @@
 	KindPlain ServiceKind = "plain"
 )
 
-// FenceCheck says whether a target refuses orders with an old fencing number.
+// FenceCheck tells whether a target rejects orders with an old fencing number.
 type FenceCheck string
 
-// The declared behaviours of targets towards old fencing numbers.
+// The declared behaviours of targets on old fencing numbers.
 const (
 	FenceChecked FenceCheck = "checked"
 	FenceIgnored FenceCheck = "ignored"
 )
 
-// Organisation is a tenant; KeyDigests are hexadecimal SHA-256 digests of its
-// keys, and zero limits mean the defaults of the fleet.
+// Organisation is a tenant; KeyDigests are hexadecimal SHA-256 digests of its keys, and a
+// MaxWaiting of zero means the fleet's default.
 type Organisation struct {
 	Weight     berylspoke.Weight `json:"weight"`
 	KeyDigests []string          `json:"keyDigests"`
 	MaxWaiting int               `json:"maxWaiting,omitempty"`
 }
 
-// Service is what callers address; Models of a plain service stay empty.
+// Service is what callers address; Model is empty for a plain service.
 type Service struct {
 	Kind  ServiceKind `json:"kind"`
 	Model string      `json:"model,omitempty"`
 }
 
-// Target is one back end of a service.
+// Target is one backend of a service.
 type Target struct {
 	Service       berylspoke.ServiceID     `json:"service"`
 	Address       string                   `json:"address"`
@@ -57,13 +57,12 @@
 	Role          string                   `json:"role,omitempty"`
 }
 
-// Domain places a failure domain in a region.
+// Domain assigns a failure domain to a region.
 type Domain struct {
 	Region berylspoke.Region `json:"region"`
 }
 
-// Declarations is the whole configuration of one version; it is never changed
-// after it has been folded.
+// Declarations is the complete configuration of one version; it is immutable once folded.
 type Declarations struct {
 	FailureDomains map[berylspoke.FailureDomain]Domain        `json:"failureDomains"`
 	Organisations  map[berylspoke.OrganisationID]Organisation `json:"organisations"`
@@ -71,7 +70,7 @@
 	Targets        map[berylspoke.TargetID]Target             `json:"targets"`
 }
 
-// Fault is one mistake in declarations, placed by the path of the field.
+// Fault is one mistake in declarations; Path names the field.
 type Fault struct {
 	Path    string
 	Problem string
@@ -86,8 +85,8 @@
 	maxIDLength = 64
 )
 
-// Region returns the region of a failure domain, and the domain's own name as
-// its region when the domain is not declared.
+// Region returns the region of a failure domain; an undeclared domain is a region of its
+// own name.
 func (declarations *Declarations) Region(domain berylspoke.FailureDomain) berylspoke.Region {
 	if declared, ok := declarations.FailureDomains[domain]; ok {
 		return declared.Region
@@ -95,8 +94,7 @@
 	return berylspoke.Region(domain)
 }
 
-// TargetsOf returns the targets of a service in a stable order, leaving ones
-// excluded.
+// TargetsOf returns the targets of a service that are not leaving, sorted by id.
 func (declarations *Declarations) TargetsOf(service berylspoke.ServiceID) []berylspoke.TargetID {
 	var ids []berylspoke.TargetID
 	for id, target := range declarations.Targets {
@@ -108,7 +106,7 @@
 	return ids
 }
 
-// Validate lists every fault in path order; an empty list means valid.
+// Validate returns all faults, sorted by path; none means valid.
 func (declarations *Declarations) Validate() []Fault {
 	var faults []Fault
 	report := func(path, format string, args ...any) {
--- a/core/berylconfig/diff.go
+++ b/core/berylconfig/diff.go
@@ -1,6 +1,6 @@
 package berylconfig
 
-// This file defines the patch that leads from one version to other declarations.
+// This file defines the patch from one version to other declarations.
 
 import (
 	"fmt"
@@ -29,8 +29,8 @@
 	}
 }
 
-// Diff returns the patch from the state to the wanted declarations and its
-// changes in path order.
+// Diff returns the patch from the state to the wanted declarations and its changes,
+// sorted by path.
 func Diff(state *State, wanted *Declarations, note string) (*Patch, []Change) {
 	patch := &Patch{
 		Base: state.Version, BaseHash: state.Hash.Short(), Note: note,
@@ -92,7 +92,7 @@
 	return patch, changes
 }
 
-// union returns the keys of two maps with string keys.
+// union returns the keys that either of two maps with string keys has.
 func union(left, right any) map[string]bool {
 	keys := make(map[string]bool)
 	for _, side := range []any{left, right} {
--- a/core/berylconfig/fold.go
+++ b/core/berylconfig/fold.go
@@ -1,6 +1,6 @@
 package berylconfig
 
-// This file defines the state in force and the rule that folds entries into it.
+// This file defines the state in force and how entries are folded into it.
 
 import (
 	"crypto/sha256"
@@ -11,13 +11,13 @@
 	"berylspoke"
 )
 
-// Hash chains the accepted patches of a version.
+// Hash identifies a version by the chain of its accepted patches.
 type Hash [sha256.Size]byte
 
-// Short returns the first bytes of the hash for logs and messages.
+// Short returns a prefix of the hash in hexadecimal, for logs and messages.
 func (hash Hash) Short() string { return hex.EncodeToString(hash[:6]) }
 
-// State is the outcome of folding every entry up to Number.
+// State is the result of folding every entry up to Number.
 type State struct {
 	Number       berylspoke.EntryNumber
 	Version      berylspoke.ConfigVersion
@@ -28,7 +28,7 @@
 // Empty returns the state before the first entry.
 func Empty() *State { return &State{Declarations: new(Declarations)} }
 
-// Outcome tells operators what became of one entry.
+// Outcome reports to operators whether an entry was accepted.
 type Outcome struct {
 	Number   berylspoke.EntryNumber   `json:"number"`
 	Accepted bool                     `json:"accepted"`
@@ -36,8 +36,8 @@
 	Problem  string                   `json:"problem,omitempty"`
 }
 
-// Fold returns the state after the entry, which must follow the last one
-// folded; a rejected entry only advances the number.
+// Fold returns the state after the entry, which must be the next one in sequence; a
+// rejected entry only advances the number.
 func (state *State) Fold(entry berylspoke.Published) (*State, Outcome) {
 	next := *state
 	next.Number = entry.Number
@@ -48,16 +48,15 @@
 		return &next, outcome
 	}
 	if patch.Base != state.Version {
-		// Two operators made a patch against the same version; the second one
-		// published would undo the first unseen. All readers see the same
-		// order, so all reject the same one.
+		// Two operators made a patch against the same version; the second one published
+		// would silently revert the first. All readers see the same order, so all reject
+		// the same one.
 		outcome.Problem = fmt.Sprintf("patch was made against version %d, in force is %d", patch.Base, state.Version)
 		return &next, outcome
 	}
 	if !strings.HasPrefix(hex.EncodeToString(state.Hash[:]), patch.BaseHash) {
-		// The platform lost patches and operators published others under their
-		// numbers. The version matches, but what the patch was made against is
-		// not what is in force here.
+		// The platform lost patches, and operators published others under their numbers.
+		// The version number matches, but the patch was made against a different history.
 		outcome.Problem = fmt.Sprintf("patch was made against another version %d, of hash %.12s", patch.Base, patch.BaseHash)
 		return &next, outcome
 	}
--- a/core/berylconfig/main_test.go
+++ b/core/berylconfig/main_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestMain draws from a fixed seed, so that the verdict is the same on every
-// run; flags on the command line win.
+// TestMain runs the property tests from a fixed seed, so that every run gives the same
+// result; flags on the command line take precedence.
 func TestMain(tests *testing.M) {
 	_ = flag.Set("rapid.checks", "2000")
 	_ = flag.Set("rapid.seed", "1")
--- a/core/berylconfig/messages.go
+++ b/core/berylconfig/messages.go
@@ -1,18 +1,18 @@
 package berylconfig
 
-// This file defines the messages by which daemons pass entries on.
+// This file defines the messages by which daemons exchange entries.
 
 import (
 	"berylspoke"
 )
 
-// PullRequest asks a peer for the entries after a number.
+// PullRequest requests the entries after a number from a peer.
 type PullRequest struct {
 	After berylspoke.EntryNumber
 }
 
-// PullAnswer carries entries, or a snapshot for a peer that lacks too many;
-// Number is the last entry the sender has.
+// PullAnswer carries entries, or a snapshot if the sender no longer keeps all entries
+// that the peer lacks; Number is the last entry of the sender.
 type PullAnswer struct {
 	Number   berylspoke.EntryNumber
 	Serving  bool
--- a/core/berylconfig/patch.go
+++ b/core/berylconfig/patch.go
@@ -12,12 +12,12 @@
 	"berylspoke"
 )
 
-// Patch changes the declarations made against version Base; a null value
-// removes what its id names, any other value replaces it whole.
+// Patch changes the declarations of version Base; a null value removes the declaration of
+// its id, and any other value replaces it as a whole.
 type Patch struct {
 	Base berylspoke.ConfigVersion `json:"base"`
-	// BaseHash is the beginning of the hash of version Base, or empty. It keeps
-	// a patch made against another history out of this one.
+	// BaseHash is a prefix of the hash of version Base, or empty. It rejects a patch that
+	// was made against another history.
 	BaseHash       string                                      `json:"baseHash,omitempty"`
 	Note           string                                      `json:"note,omitempty"`
 	FailureDomains map[berylspoke.FailureDomain]*Domain        `json:"failureDomains,omitempty"`
@@ -29,7 +29,7 @@
 // MaxPatchBytes is the platform's limit on one published value.
 const MaxPatchBytes = 1 << 20
 
-// ParsePatch decodes a published patch and refuses unknown fields.
+// ParsePatch decodes a published patch and rejects unknown fields.
 func ParsePatch(body []byte) (*Patch, error) {
 	if len(body) > MaxPatchBytes {
 		return nil, errors.Errorf("patch of %d bytes exceeds %d", len(body), MaxPatchBytes)
@@ -46,8 +46,8 @@
 	return patch, nil
 }
 
-// Apply returns new declarations with the patch applied; the receiver of the
-// patch stays as it was, and maps the patch does not touch are shared.
+// Apply returns new declarations with the patch applied; old is not modified, and maps
+// that the patch does not change are shared.
 func (patch *Patch) Apply(old *Declarations) *Declarations {
 	next := *old
 	if len(patch.FailureDomains) > 0 {
--- a/core/berylconfig/snapshot.go
+++ b/core/berylconfig/snapshot.go
@@ -30,8 +30,8 @@
 	return body
 }
 
-// Adopt puts a peer's snapshot into force if it is ahead, and reports whether
-// it was.
+// Adopt replaces the state by a peer's snapshot if that is ahead, and reports whether it
+// was.
 func (store *Store) Adopt(body []byte) bool {
 	state, err := parseSnapshot(body)
 	if err != nil || state.Number <= store.state.Number {
@@ -45,10 +45,10 @@
 func parseSnapshot(body []byte) (*State, error) {
 	var wire wireSnapshot
 	if err := json.Unmarshal(body, &wire); err != nil {
-		return nil, errors.Wrap(err, "snapshot is garbled")
+		return nil, errors.Wrap(err, "snapshot is malformed")
 	}
 	if len(wire.Hash) != len(Hash{}) || wire.Declarations == nil {
-		return nil, errors.New("snapshot lacks its hash or its declarations")
+		return nil, errors.New("snapshot has no valid hash or no declarations")
 	}
 	if faults := wire.Declarations.Validate(); len(faults) > 0 {
 		return nil, errors.Errorf("snapshot is not valid: %s", faults[0])
