--- a/model/ticket.pml
+++ b/model/ticket.pml
@@ -1,15 +1,15 @@
 /*
  * One request id of the ticket protocol: its owner, its witness, a caller that
- * repeats itself, and two daemons that settle the id.
+ * repeats its request, and two daemons that settle the id.
  *
- * A message, once sent, may be delivered never, once or often, at any later
- * time and in any order: sent messages are flags that nothing clears. A frozen
- * process is one that takes no step for long, which interleaving covers. A crash
- * is a restart from empty: the process named in the id is gone for good and
- * what runs in its place is another one. Timeouts may strike at any time, since
- * no clock is part of the argument.
+ * A message, once sent, may be delivered never, once or several times, at any
+ * later time and in any order: sent messages are flags that are never cleared. A
+ * frozen process takes no step for a long time, which interleaving covers. A crash
+ * loses all state: the process named in the id is gone for good, and a process
+ * started in its place is a different one. Timeouts may occur at any time, since
+ * correctness does not depend on clocks.
  *
- * Macros break the protocol on purpose, see check.
+ * Macros inject faults into the protocol, see check.
  */
 
 #define NONE 0
@@ -25,7 +25,7 @@
 #define PERMITTED 1
 #define CLOSED 2
 
-/* messages that were sent */
+/* messages sent so far */
 bool request, permitRequest, granted, denied;
 bool settleRequest, ownerSaysNotRun, ownerSaysRan, ownerSaysMay, ownerIsGone;
 bool closeRequest, witnessSaysNotRun, witnessSaysMay;
@@ -42,7 +42,7 @@
 bool witnessForgot = false;
 byte mark = NONE;
 
-/* the target, and what was said to the caller by anyone */
+/* executions at the target, and the verdicts reported to the caller by any process */
 byte runs = 0;
 bool saidNotRun = false;
 byte said0 = 0, said1 = 0;
@@ -59,7 +59,7 @@
 	SAFE
 }
 
-/* run stands for the arrival of the dispatched request at the target. */
+/* execute is the arrival of the dispatched request at the target. */
 inline execute() {
 	runs++;
 	SAFE
@@ -86,7 +86,7 @@
 #else
 	:: atomic { ownerAlive && stage == QUEUED -> stage = ASKING; permitRequest = true }
 #endif
-	/* the wait in the queue or for the witness was too long */
+	/* the wait in the queue or for the witness timed out */
 	:: atomic { ownerAlive && (stage == QUEUED || stage == ASKING) -> finish(NOTRUN) }
 	:: atomic { ownerAlive && denied && stage == ASKING -> finish(NOTRUN) }
 	:: atomic { ownerAlive && granted && stage == ASKING -> stage = DISPATCHED }
@@ -94,15 +94,15 @@
 	:: atomic { ownerAlive && granted && stage == FINISHED && verdict == NOTRUN && runs == 0 -> stage = DISPATCHED }
 #endif
 	/* the target executes the request and answers, or its answer is lost,
-	   or the request is lost on its way */
+	   or the request is lost */
 	:: atomic { ownerAlive && stage == DISPATCHED -> execute(); finish(RAN) }
 	:: atomic { ownerAlive && stage == DISPATCHED -> execute(); finish(MAYHAVERUN) }
 	:: atomic { ownerAlive && stage == DISPATCHED -> finish(MAYHAVERUN) }
-	/* a request on the wire is executed although its sender has died */
+	/* a request in flight is executed although its sender has crashed */
 	:: atomic { !ownerAlive && stage == DISPATCHED -> execute(); stage = FINISHED }
 	/* the record falls below the watermark */
 	:: atomic { ownerAlive && stage == FINISHED && !ownerForgot -> ownerForgot = true }
-	/* settling */
+	/* the owner, or the process in its place, answers settle requests */
 	:: atomic { ownerAlive && settleRequest && stage == NONE && !ownerForgot -> finish(NOTRUN); ownerSaysNotRun = true }
 	:: atomic { ownerAlive && settleRequest && ownerForgot && !ownerSaysMay -> ownerSaysMay = true }
 	:: atomic { ownerAlive && settleRequest && !ownerForgot && stage == FINISHED && verdict == NOTRUN && !ownerSaysNotRun -> ownerSaysNotRun = true }
@@ -125,19 +125,19 @@
 #endif
 	:: atomic { witnessAlive && closeRequest && !witnessForgot && mark != PERMITTED && !witnessSaysNotRun -> mark = CLOSED; witnessSaysNotRun = true }
 	:: atomic { witnessAlive && closeRequest && !witnessForgot && mark == PERMITTED && !witnessSaysMay -> witnessSaysMay = true }
-	/* another process of the VM, or one below the watermark, cannot tell */
+	/* a restarted witness does not know the id, nor does one whose watermark is above it */
 	:: atomic { (witnessReplaced || witnessAlive && witnessForgot) && closeRequest && !witnessSaysMay -> witnessSaysMay = true }
 	/* the mark falls below the watermark */
 	:: atomic { witnessAlive && !witnessForgot && mark != NONE -> witnessForgot = true }
 	od
 }
 
-/* Crashes strike at any time, and then stop. */
+/* At most two crashes occur, at any time. */
 active proctype Failures() {
 	do
 	:: atomic { crashes < 2 && ownerAlive -> ownerAlive = false; crashes++ }
 	:: atomic { crashes < 2 && witnessAlive -> witnessAlive = false; crashes++ }
-	/* another process may start on the VM, or the VM stays gone */
+	/* another process may start on the VM, or none */
 	:: atomic { !witnessAlive && !witnessReplaced -> witnessReplaced = true }
 	:: break
 	od
@@ -146,7 +146,7 @@
 proctype Settler(byte me) {
 	byte word = 0;
 	settleRequest = true;
-	/* the owner answers, or it is gone, or it is silent for too long */
+	/* the owner answers, or it is gone, or the wait for it times out */
 	do
 	:: atomic { word == 0 && ownerSaysNotRun -> word = NOTRUN }
 	:: atomic { word == 0 && ownerSaysRan -> word = RAN }
@@ -165,7 +165,7 @@
 		:: atomic { witnessSaysNotRun -> word = NOTRUN }
 		:: atomic { witnessSaysMay -> word = MAYHAVERUN }
 #ifndef ENDLESS_WAIT
-		:: word = MAYHAVERUN /* the witness is silent for too long */
+		:: word = MAYHAVERUN /* the wait for the witness times out */
 #endif
 		fi
 #endif
@@ -181,5 +181,5 @@
 
 init { atomic { run Settler(0); run Settler(1) } }
 
-/* Every id is settled. */
+/* Both settlers get a verdict. */
 ltl settled { <> (said0 != 0 && said1 != 0) }
