--- a/core/berylnode/dump.go
+++ b/core/berylnode/dump.go
@@ -31,7 +31,7 @@
 	Waiting    int                                     `json:"waiting"`
 	Backlogged int                                     `json:"backlogged"`
 	Time       berylspoke.Tag                          `json:"virtualTime"`
-	Shares     []berylshare.Share                      `json:"organisations"`
+	Shares     []berylshare.OrganisationState          `json:"organisations"`
 	Uses       berylslot.Uses                          `json:"slotUses"`
 	Held       []berylslot.HeldSlot                    `json:"held"`
 	Kept       []berylslot.Slot                        `json:"kept"`
@@ -88,7 +88,7 @@
 func (node *Node) serviceState(service *service) ServiceState {
 	state := ServiceState{
 		Service: service.id, Waiting: service.queue.Waiting(), Backlogged: service.queue.Backlogged(),
-		Time: service.queue.Time(), Shares: service.queue.Shares(), Held: service.holder.Held(), Uses: service.holder.Uses(),
+		Time: service.queue.VirtualTime(), Shares: service.queue.Organisations(), Held: service.holder.Held(), Uses: service.holder.Uses(),
 		Keepers: service.keepers.Of,
 	}
 	if service.keeper != nil {
--- a/core/berylnode/ledgers.go
+++ b/core/berylnode/ledgers.go
@@ -62,7 +62,7 @@
 func (node *Node) totals(totals berylshare.Totals) {
 	for _, total := range totals.Totals {
 		if service := node.services[total.Service]; service != nil {
-			service.queue.Take(total)
+			service.queue.ApplyTotal(total)
 		}
 	}
 }
--- a/core/berylnode/node.go
+++ b/core/berylnode/node.go
@@ -40,7 +40,7 @@
 // running is a request that holds a slot.
 type running struct {
 	service *service
-	started *berylshare.Started
+	started *berylshare.StartedRequest
 	place   berylslot.Place
 	call    *berylticket.CallID
 }
@@ -295,7 +295,7 @@
 	need := berylslot.Need{
 		Waiting: service.queue.Waiting(),
 		Tags:    service.queue.Tags(berylslot.AskTags, node.options.Keeper.Slack),
-		Time:    service.queue.Time(),
+		Time:    service.queue.VirtualTime(),
 	}
 	for _, ask := range service.holder.Asks(now, node.askable(now, service), need) {
 		node.sendOr(now, ask.To, ask.Ask, ask.Urgent)
--- a/core/berylnode/requests.go
+++ b/core/berylnode/requests.go
@@ -58,7 +58,7 @@
 func (node *Node) Retry(now time.Time) bool { return node.retries.Spend(now, 1) }
 
 func (node *Node) setTime(now time.Time, service *service) {
-	service.queue.SetTime(service.holder.Time(now, service.keepers.Local))
+	service.queue.SetVirtualTime(service.holder.Time(now, service.keepers.Local))
 }
 
 // refuse ends a request that never reached a target.
@@ -168,7 +168,7 @@
 	return places[0]
 }
 
-func (node *Node) begin(now time.Time, service *service, started *berylshare.Started, place berylslot.Place) {
+func (node *Node) begin(now time.Time, service *service, started *berylshare.StartedRequest, place berylslot.Place) {
 	request := node.waiting[started.Request]
 	delete(node.waiting, started.Request)
 	if place.Keeper != "" {
--- a/core/berylshare/account.go
+++ b/core/berylshare/account.go
@@ -1,6 +1,6 @@
 package berylshare
 
-// This file defines the account of one organisation at one entry.
+// This file defines the account of one organisation at one entry daemon.
 
 import (
 	"container/heap"
@@ -9,7 +9,7 @@
 	"berylspoke"
 )
 
-// account holds one organisation's waiting requests and what it was charged.
+// account holds one organisation's waiting requests and its charges.
 type account struct {
 	organisation berylspoke.OrganisationID
 	weight       berylspoke.Weight
@@ -18,40 +18,42 @@
 	reserved     berylspoke.Tokens
 	estimator    estimator
 
-	// counter is all that this process charged; synced is the part of it that
-	// base contains. Base is the tag as the ledger last told it, floor the
-	// highest tag that a lift demanded.
-	counter, synced berylspoke.Tokens
-	base, floor     berylspoke.Tag
-	// clamp is not positive: it keeps an organisation that was served elsewhere
-	// within the lead bound here.
-	clamp    berylspoke.Tag
-	sequence uint32
-	reported berylspoke.Tokens
-	told     time.Time
-	// life tells this account from an earlier one of the same organisation
-	// that the queue forgot; its counter started from zero again.
-	life    uint32
-	touched time.Time
-
-	place int
+	// counter is the total that this process charged, and acknowledged the part of it that
+	// includes. base is the tag that the ledger last reported, and floor the highest tag
+	// that the account was raised to.
+	counter, acknowledged berylspoke.Tokens
+	base, floor           berylspoke.Tag
+	// clamp is zero or negative. It is added to the fleet-wide tag to keep an organisation
+	// that was served at other entry daemons within the lead bound of this one.
+	clamp      berylspoke.Tag
+	sequence   uint32
+	reported   berylspoke.Tokens
+	reportedAt time.Time
+	// generation distinguishes this account from earlier ones of the same organisation
+	// that the queue dropped: each starts its counter at zero.
+	generation  uint32
+	lastArrival time.Time
+
+	// heapIndex is the index in the backlog, or -1 if no request waits.
+	heapIndex int
 }
 
-// fleet returns the tag in the whole fleet.
-func (account *account) fleet() berylspoke.Tag {
-	return account.base + account.weight.Normalise(account.counter-account.synced)
+// fleetTag returns the fleet-wide tag.
+func (account *account) fleetTag() berylspoke.Tag {
+	return account.base + account.weight.Normalise(account.counter-account.acknowledged)
 }
 
-// tag returns the tag that counts at this entry.
-func (account *account) tag() berylspoke.Tag { return account.fleet() + account.clamp }
+// tag returns the tag that orders the backlog of this entry daemon.
+func (account *account) tag() berylspoke.Tag { return account.fleetTag() + account.clamp }
 
-// length returns the waiting requests, and some more, for each unit of weight.
-func (account *account) length(more int) float64 {
-	return float64(len(account.waiting)+more) / float64(max(account.weight, 1))
+// waitingPerWeight returns the number of waiting requests plus extra, divided by the
+// weight.
+func (account *account) waitingPerWeight(extra int) float64 {
+	return float64(len(account.waiting)+extra) / float64(max(account.weight, 1))
 }
 
-// lift raises the tag to at least the floor.
-func (account *account) lift(floor berylspoke.Tag) {
+// raise raises the tag to at least floor.
+func (account *account) raise(floor berylspoke.Tag) {
 	missing := floor - account.tag()
 	if missing <= 0 {
 		return
@@ -59,17 +61,17 @@
 	unclamped := min(missing, -account.clamp)
 	account.clamp += unclamped
 	account.base += missing - unclamped
-	account.floor = max(account.floor, account.fleet())
+	account.floor = max(account.floor, account.fleetTag())
 }
 
-// lower reduces the tag at this entry to at most the ceiling, for good: a
-// reduction that was taken back as the ceiling rises would keep the
-// organisation ahead of all others for as long as its sum is.
+// lower reduces the tag at this entry daemon to at most ceiling. The reduction is
+// permanent: undoing it as the ceiling rises would keep the organisation at the ceiling,
+// and so behind all others, for as long as its fleet-wide tag exceeds theirs.
 func (account *account) lower(ceiling berylspoke.Tag) {
-	account.clamp = min(account.clamp, ceiling-account.fleet())
+	account.clamp = min(account.clamp, ceiling-account.fleetTag())
 }
 
-// accountHeap orders the backlogged accounts by tag, then by id.
+// accountHeap is a heap of the backlogged accounts, ordered by tag and then by ID.
 type accountHeap []*account
 
 var _ heap.Interface = (*accountHeap)(nil)
@@ -83,19 +85,19 @@
 
 func (accounts accountHeap) Swap(i, j int) {
 	accounts[i], accounts[j] = accounts[j], accounts[i]
-	accounts[i].place, accounts[j].place = i, j
+	accounts[i].heapIndex, accounts[j].heapIndex = i, j
 }
 
 func (accounts *accountHeap) Push(item any) {
 	added := item.(*account)
-	added.place = len(*accounts)
+	added.heapIndex = len(*accounts)
 	*accounts = append(*accounts, added)
 }
 
 func (accounts *accountHeap) Pop() any {
 	old := *accounts
 	last := old[len(old)-1]
-	last.place = -1
+	last.heapIndex = -1
 	*accounts = old[:len(old)-1]
 	return last
 }
--- a/core/berylshare/doc.go
+++ b/core/berylshare/doc.go
@@ -1,20 +1,19 @@
-// Package berylshare decides whose request is served next and sums what each
-// organisation received.
+// Package berylshare implements fleet-wide weighted fair queueing between organisations.
 //
-// The model: an organisation's tag is the service it received anywhere in the
-// fleet, divided by its weight, raised to the virtual time whenever it becomes
-// backlogged, so that idleness saves no credit. The waiting request of the
-// lowest tag goes first. Service is charged by an estimate when a request
-// starts, by tokens beyond the estimate while it streams, and corrected at its
-// end, so that a burst of starts cannot outrun its own cost.
+// An organisation's tag is the service it received anywhere in the fleet, divided by its
+// weight. The tag is raised to the virtual time whenever the organisation becomes
+// backlogged, so idle periods earn no credit. The waiting request with the lowest tag is
+// served first. A request is charged an estimate when it starts, any tokens beyond the
+// estimate while it streams, and the difference to its actual cost when it finishes, so an
+// organisation cannot start a burst of requests before their cost is charged.
 //
-// The virtual time is that of the pool of targets an entry draws on: the
-// highest tag started there. A tag is kept between the virtual time less the
-// catch-up bound and the virtual time plus the lead bound, so that neither a long
-// partition nor capacity that was used while idle elsewhere can starve anyone.
+// The virtual time belongs to the pool of targets that an entry daemon uses: it is the
+// highest tag started there. A tag stays between the virtual time minus the catch-up bound
+// and the virtual time plus the lead bound, so that neither a long partition nor the use
+// of capacity that was idle elsewhere can starve an organisation.
 //
-// A Queue belongs to an entry and a service. A Ledger sums the counters of the
-// entries that serve an organisation into its tag. Counters are cumulative per process, so a
-// lost, doubled or late report is harmless; a ledger that starts empty adopts
-// what each entry says was already acknowledged.
+// A Queue belongs to one entry daemon and one service. A Ledger sums the counters of the
+// entry daemons that serve an organisation into its tag. Counters are cumulative per
+// process, so lost, duplicated or late reports do no harm. A ledger that starts empty
+// adopts the totals that each entry daemon has had acknowledged.
 package berylshare
--- a/core/berylshare/ledger.go
+++ b/core/berylshare/ledger.go
@@ -1,6 +1,6 @@
 package berylshare
 
-// This file defines the ledger that sums the service of organisations.
+// This file defines the ledger that sums the service received by each organisation.
 
 import (
 	"time"
@@ -8,18 +8,19 @@
 	"berylspoke"
 )
 
-// forgetAfter is the silence after which a ledger drops an organisation; the
-// next report brings its tag along.
-const forgetAfter = 2 * time.Minute
+// reportTimeout is the time without reports after which a ledger drops an organisation.
+// The next report restores its tag.
+const reportTimeout = 2 * time.Minute
 
 type ledgerKey struct {
 	service      berylspoke.ServiceID
 	organisation berylspoke.OrganisationID
 }
 
+// contribution is the part of an organisation's service that one entry daemon reported.
 type contribution struct {
 	incarnation berylspoke.Incarnation
-	life        uint32
+	generation  uint32
 	sequence    uint32
 	counter     berylspoke.Tokens
 }
@@ -27,10 +28,10 @@
 type ledgerAccount struct {
 	tag           berylspoke.Tag
 	contributions map[berylspoke.VMID]*contribution
-	heard         time.Time
+	lastReport    time.Time
 }
 
-// Ledger sums the service of the organisations placed on one daemon.
+// Ledger sums the service of the organisations assigned to one daemon.
 type Ledger struct {
 	accounts map[ledgerKey]*ledgerAccount
 }
@@ -41,12 +42,12 @@
 // Len returns the number of organisations held.
 func (ledger *Ledger) Len() int { return len(ledger.accounts) }
 
-// Report merges one report and returns the answer.
+// Report merges a report and returns the organisation's total.
 //
-// Reports may be lost, doubled or overtaken: counters are cumulative, so only
-// the newest by sequence counts. An entry heard for the first time is taken at
-// its acknowledged counter and the tag that went with it, because an earlier
-// ledger summed that part.
+// Reports may be lost, duplicated or reordered: counters are cumulative, so only the
+// report with the highest sequence number counts. The first report of an entry daemon is
+// merged from its acknowledged counter and the tag that goes with it, because an earlier
+// ledger already summed the service up to that counter.
 func (ledger *Ledger) Report(now time.Time, from berylspoke.Process, report Report) Total {
 	key := ledgerKey{report.Service, report.Organisation}
 	account := ledger.accounts[key]
@@ -54,25 +55,25 @@
 		account = &ledgerAccount{contributions: make(map[berylspoke.VMID]*contribution)}
 		ledger.accounts[key] = account
 	}
-	account.heard = now
-	part := account.contributions[from.VM]
-	if part == nil || part.incarnation != from.Incarnation || part.life < report.Life {
-		part = &contribution{incarnation: from.Incarnation, life: report.Life, counter: report.Acknowledged}
-		account.contributions[from.VM] = part
+	account.lastReport = now
+	contrib := account.contributions[from.VM]
+	if contrib == nil || contrib.incarnation != from.Incarnation || contrib.generation < report.Life {
+		contrib = &contribution{incarnation: from.Incarnation, generation: report.Life, counter: report.Acknowledged}
+		account.contributions[from.VM] = contrib
 		account.tag = max(account.tag, report.Base)
 	}
-	if report.Life == part.life && report.Sequence > part.sequence {
-		account.tag += report.Weight.Normalise(report.Counter - part.counter)
-		part.sequence, part.counter = report.Sequence, report.Counter
+	if report.Life == contrib.generation && report.Sequence > contrib.sequence {
+		account.tag += report.Weight.Normalise(report.Counter - contrib.counter)
+		contrib.sequence, contrib.counter = report.Sequence, report.Counter
 	}
 	account.tag = max(account.tag, report.Floor)
-	return Total{report.Service, report.Organisation, part.counter, account.tag}
+	return Total{report.Service, report.Organisation, contrib.counter, account.tag}
 }
 
-// Forget drops the organisations that no entry reported for long.
+// Forget drops the organisations that had no report for longer than reportTimeout.
 func (ledger *Ledger) Forget(now time.Time) {
 	for key, account := range ledger.accounts {
-		if now.Sub(account.heard) > forgetAfter {
+		if now.Sub(account.lastReport) > reportTimeout {
 			delete(ledger.accounts, key)
 		}
 	}
--- a/core/berylshare/queue.go
+++ b/core/berylshare/queue.go
@@ -1,6 +1,6 @@
 package berylshare
 
-// This file defines the queue of one service at one entry.
+// This file defines the queue of one service at one entry daemon.
 
 import (
 	"container/heap"
@@ -15,39 +15,43 @@
 // Policy names the order in which requests are served.
 type Policy string
 
-// The policies: the product's own and two baselines to measure it against.
+// FleetFair is the default policy. LocalFair, which ignores service received at other
+// entry daemons, and FirstCome are baselines for comparison.
 const (
 	FleetFair Policy = "fleetFair"
 	LocalFair Policy = "localFair"
 	FirstCome Policy = "firstCome"
 )
 
-// Options are the bounds of a queue; zero bounds of waiting mean none.
+// Options are the policy and the bounds of a queue. A zero MaxWaiting or
+// MaxPerOrganisation means no bound.
 type Options struct {
 	Policy Policy
-	// CatchUp bounds how far a tag may lag behind the virtual time.
+	// CatchUp bounds how far a tag may lag behind the virtual time; zero means no bound.
 	CatchUp berylspoke.Tag
-	// Lead bounds how far a tag, less its own reservations, may run ahead.
+	// Lead bounds how far a tag, less the organisation's own reservations, may run ahead
+	// of the virtual time.
 	Lead berylspoke.Tag
-	// MaxWaiting bounds all waiting requests.
+	// MaxWaiting bounds the waiting requests of all organisations together.
 	MaxWaiting int
-	// MaxPerOrganisation bounds an organisation's waiting requests where its
-	// declaration does not.
+	// MaxPerOrganisation bounds the waiting requests of an organisation whose declaration
+	// sets no limit.
 	MaxPerOrganisation int
 }
 
-// Queue holds the waiting requests of one service at one entry.
+// Queue holds the waiting requests of one service at one entry daemon.
 type Queue struct {
 	options  Options
 	accounts map[berylspoke.OrganisationID]*account
 	// dirty holds the accounts charged since their last report.
-	dirty   map[berylspoke.OrganisationID]*account
-	lives   uint32
-	backlog accountHeap
-	waiting int
-	time    berylspoke.Tag
-	// fresh says that time is the pool's present virtual time; accounts that
-	// became backlogged without it are lifted once it is known.
+	dirty       map[berylspoke.OrganisationID]*account
+	generations uint32
+	backlog     accountHeap
+	waiting     int
+	virtualTime berylspoke.Tag
+	// fresh reports whether time is the pool's current virtual time. provisional holds the
+	// accounts that became backlogged while it was not; their tags are raised once the
+	// current virtual time is known.
 	fresh       bool
 	provisional []*account
 }
@@ -61,7 +65,7 @@
 	}
 }
 
-// ErrOrganisationFull and ErrFull refuse a request that the bounds exclude.
+// ErrOrganisationFull and ErrFull report that a request exceeds a bound of the queue.
 var (
 	ErrOrganisationFull = errors.New("organisation has too many requests waiting")
 	ErrFull             = errors.New("service has too many requests waiting")
@@ -73,55 +77,57 @@
 // Backlogged returns the number of organisations with a waiting request.
 func (queue *Queue) Backlogged() int { return len(queue.backlog) }
 
-// SetTime sets the virtual time of the pool that this queue is served from; it
-// is not fresh if no keeper has told it lately.
-func (queue *Queue) SetTime(time berylspoke.Tag, fresh bool) {
-	queue.time = max(queue.time, time)
+// SetVirtualTime advances the virtual time of the pool that serves this queue. fresh is
+// false if no lessor with a valid lease reported it.
+func (queue *Queue) SetVirtualTime(virtualTime berylspoke.Tag, fresh bool) {
+	queue.virtualTime = max(queue.virtualTime, virtualTime)
 	queue.fresh = fresh
 	if !fresh {
 		return
 	}
 	for _, account := range queue.provisional {
-		if account.place >= 0 {
-			account.lift(queue.time)
-			heap.Fix(&queue.backlog, account.place)
+		if account.heapIndex >= 0 {
+			account.raise(queue.virtualTime)
+			heap.Fix(&queue.backlog, account.heapIndex)
 		}
 	}
 	queue.provisional = nil
 }
 
-// Time returns the virtual time.
-func (queue *Queue) Time() berylspoke.Tag { return queue.time }
+// VirtualTime returns the virtual time.
+func (queue *Queue) VirtualTime() berylspoke.Tag { return queue.virtualTime }
 
-// account finds an account; under FirstCome all organisations share one, which
-// serves them in the order of arrival.
+// account returns the account of an organisation, creating it if needed. Under FirstCome
+// all organisations share one account, which serves requests in order of arrival.
 func (queue *Queue) account(id berylspoke.OrganisationID, weight berylspoke.Weight) *account {
 	if queue.options.Policy == FirstCome {
 		id = ""
 	}
 	found := queue.accounts[id]
 	if found == nil {
-		queue.lives++
-		found = &account{organisation: id, place: -1, life: queue.lives}
+		queue.generations++
+		found = &account{organisation: id, heapIndex: -1, generation: queue.generations}
 		queue.accounts[id] = found
 	}
 	if weight > 0 && weight != found.weight {
-		queue.reweigh(found, weight)
+		queue.setWeight(found, weight)
 	}
 	return found
 }
 
-// reweigh keeps the tag while the weight changes: past service was normalised
-// by the old weight and must not be valued anew.
-func (queue *Queue) reweigh(account *account, weight berylspoke.Weight) {
-	fleet := account.fleet()
+// setWeight changes the weight without changing the tag: past service was normalised by
+// the old weight and must not be normalised again by the new one.
+func (queue *Queue) setWeight(account *account, weight berylspoke.Weight) {
+	fleetTag := account.fleetTag()
 	account.weight = weight
-	account.base += fleet - account.fleet()
+	account.base += fleetTag - account.fleetTag()
 }
 
-// Push adds a request of an organisation that may have at most limit waiting. In a
-// full queue it displaces the newest request of the organisation with the most waiting
-// for its weight, which is returned; it is refused itself if its own has about as many.
+// Push adds a request of an organisation that may have at most limit requests waiting;
+// a zero limit means MaxPerOrganisation. If the queue is full, the newest request of the
+// organisation with the most waiting requests per weight is displaced and returned, or
+// the new request is rejected with ErrFull if its own organisation would then have at
+// least as many per weight.
 func (queue *Queue) Push(request Waiting, weight berylspoke.Weight, limit int) (*Waiting, error) {
 	account := queue.account(request.Organisation, weight)
 	if limit == 0 {
@@ -138,78 +144,79 @@
 	}
 	account.waiting = append(account.waiting, request)
 	queue.waiting++
-	if account.place < 0 {
-		account.lift(queue.time)
+	if account.heapIndex < 0 {
+		account.raise(queue.virtualTime)
 		heap.Push(&queue.backlog, account)
 		if !queue.fresh {
 			queue.provisional = append(queue.provisional, account)
 		}
 	}
-	account.touched = request.Arrived
+	account.lastArrival = request.Arrived
 	return displaced, nil
 }
 
-// displace takes out the newest request of the longest account, nil if one more
-// request would make the newcomer's as long.
+// displace removes and returns the newest request of the account with the most waiting
+// requests per weight. It returns nil if one more request would give the newcomer's
+// account at least as many.
 func (queue *Queue) displace(newcomer *account) *Waiting {
 	var longest *account
 	for _, account := range queue.backlog {
-		if longest == nil || account.length(0) > longest.length(0) ||
-			account.length(0) == longest.length(0) && account.organisation < longest.organisation {
+		if longest == nil || account.waitingPerWeight(0) > longest.waitingPerWeight(0) ||
+			account.waitingPerWeight(0) == longest.waitingPerWeight(0) && account.organisation < longest.organisation {
 			longest = account
 		}
 	}
-	if longest == nil || longest.length(0) <= newcomer.length(1) {
+	if longest == nil || longest.waitingPerWeight(0) <= newcomer.waitingPerWeight(1) {
 		return nil
 	}
 	last := len(longest.waiting) - 1
 	displaced := longest.waiting[last]
 	longest.waiting = longest.waiting[:last]
 	queue.waiting--
-	queue.replace(longest)
+	queue.restoreOrder(longest)
 	return &displaced
 }
 
-// Head returns the tag of the request that goes next.
+// Head returns the tag of the next request to serve, and false if none is waiting.
 func (queue *Queue) Head() (berylspoke.Tag, bool) {
 	if len(queue.backlog) == 0 {
 		return 0, false
 	}
-	queue.settle()
+	queue.raiseLagging()
 	return queue.backlog[0].tag(), true
 }
 
-// settle brings the first account within the bounds around the virtual time;
-// the loop ends because each turn puts one account within them for good.
-func (queue *Queue) settle() {
+// raiseLagging raises lagging accounts at the head of the backlog to the catch-up bound.
+// One round per account suffices, as a raised account stays within the bound.
+func (queue *Queue) raiseLagging() {
 	for range len(queue.backlog) {
 		first := queue.backlog[0]
-		floor := queue.time - queue.options.CatchUp
+		floor := queue.virtualTime - queue.options.CatchUp
 		if queue.options.CatchUp == 0 || first.tag() >= floor {
 			break
 		}
-		first.lift(floor)
+		first.raise(floor)
 		heap.Fix(&queue.backlog, 0)
 	}
 }
 
-// Pop removes the request that goes next and reserves its estimated cost.
-func (queue *Queue) Pop() (*Started, bool) {
+// Pop removes the next request to serve and charges its estimated cost.
+func (queue *Queue) Pop() (*StartedRequest, bool) {
 	if len(queue.backlog) == 0 {
 		return nil, false
 	}
-	queue.settle()
+	queue.raiseLagging()
 	account := queue.backlog[0]
 	request := account.waiting[0]
 	account.waiting = account.waiting[1:]
 	queue.waiting--
-	started := &Started{Waiting: request, Tag: account.tag()}
+	started := &StartedRequest{Waiting: request, Tag: account.tag()}
 	started.Reserved = account.estimator.estimate(request.Hint)
 	started.Charged = started.Reserved
 	account.running++
 	account.reserved += started.Reserved
 	queue.charge(account, started.Reserved)
-	queue.replace(account)
+	queue.restoreOrder(account)
 	return started, true
 }
 
@@ -218,70 +225,72 @@
 	queue.dirty[account.organisation] = account
 }
 
-// replace restores the order of the backlog after an account changed.
-func (queue *Queue) replace(account *account) {
+// restoreOrder restores the heap order of the backlog after an account changed.
+func (queue *Queue) restoreOrder(account *account) {
 	switch {
-	case account.place >= 0 && len(account.waiting) == 0:
-		heap.Remove(&queue.backlog, account.place)
-	case account.place >= 0:
-		heap.Fix(&queue.backlog, account.place)
+	case account.heapIndex >= 0 && len(account.waiting) == 0:
+		heap.Remove(&queue.backlog, account.heapIndex)
+	case account.heapIndex >= 0:
+		heap.Fix(&queue.backlog, account.heapIndex)
 	}
 }
 
-// Progress charges what a started request received beyond its reservation.
-func (queue *Queue) Progress(started *Started, received berylspoke.Tokens) {
+// Progress charges the service that a started request received beyond its charge so far.
+func (queue *Queue) Progress(started *StartedRequest, received berylspoke.Tokens) {
 	if received <= started.Charged {
 		return
 	}
 	account := queue.account(started.Organisation, 0)
 	queue.charge(account, received-started.Charged)
 	started.Charged = received
-	queue.replace(account)
+	queue.restoreOrder(account)
 }
 
-// Finish corrects the charge to what the request received.
-func (queue *Queue) Finish(started *Started, received berylspoke.Tokens) {
+// Finish corrects the charge of a request to the service it actually received.
+func (queue *Queue) Finish(started *StartedRequest, received berylspoke.Tokens) {
 	account := queue.account(started.Organisation, 0)
 	queue.charge(account, received-started.Charged)
 	account.reserved -= started.Reserved
 	account.running--
 	if received > 0 {
-		account.estimator.learn(received)
+		account.estimator.observe(received)
 	}
 	started.Charged = received
-	queue.replace(account)
+	queue.restoreOrder(account)
 }
 
-// idleAfter is the time after which an account without work is forgotten; the
-// ledger forgets later, so it never answers for a forgotten life.
-const idleAfter = time.Minute
+// idleTimeout is the time without arrivals after which an idle account is dropped. It is
+// shorter than the ledger's reportTimeout, so that the ledger still knows the dropped
+// account's generation and never answers with a total of an earlier one.
+const idleTimeout = time.Minute
 
-// Forget drops the accounts that had no work for long, so that memory follows
-// the organisations in use and not all that are declared.
+// Forget drops the accounts without requests whose last arrival is older than idleTimeout,
+// so that memory use grows with the active organisations and not with the declared ones.
 func (queue *Queue) Forget(now time.Time) {
 	for id, account := range queue.accounts {
-		if account.place < 0 && account.running == 0 && now.Sub(account.touched) > idleAfter {
+		if account.heapIndex < 0 && account.running == 0 && now.Sub(account.lastArrival) > idleTimeout {
 			delete(queue.accounts, id)
 			delete(queue.dirty, id)
 		}
 	}
 }
 
-// Remove takes a waiting request out, for a caller that gave up.
+// Remove removes a waiting request, for example because its caller disconnected. It
+// reports whether the request was waiting.
 func (queue *Queue) Remove(organisation berylspoke.OrganisationID, id berylspoke.RequestID) bool {
 	account := queue.account(organisation, 0)
 	for i, request := range account.waiting {
 		if request.Request == id {
 			account.waiting = append(account.waiting[:i:i], account.waiting[i+1:]...)
 			queue.waiting--
-			queue.replace(account)
+			queue.restoreOrder(account)
 			return true
 		}
 	}
 	return false
 }
 
-// Expire takes out the requests whose deadline has passed.
+// Expire removes and returns the requests whose deadline has passed.
 func (queue *Queue) Expire(now time.Time) []Waiting {
 	var expired []Waiting
 	for _, account := range append(accountHeap(nil), queue.backlog...) {
@@ -296,31 +305,31 @@
 		if len(kept) < len(account.waiting) {
 			queue.waiting -= len(account.waiting) - len(kept)
 			account.waiting = kept
-			queue.replace(account)
+			queue.restoreOrder(account)
 		}
 	}
 	return expired
 }
 
-// Tags returns the tags that the next count requests will have, in rising
-// order, as far as estimates tell. The first request of an organisation that has
-// nothing running here is told lower by the slack that entries have for reusing
-// slots; it would otherwise wait until a flooding organisation has used it up.
+// Tags returns the estimated tags of the next count requests in ascending order. The first
+// request of an organisation that has nothing running here is reported with a tag lower by
+// slack, the margin within which entry daemons may reuse slots. Otherwise it would wait
+// until a flooding organisation has used up that margin.
 func (queue *Queue) Tags(count int, slack berylspoke.Tag) []berylspoke.Tag {
 	if len(queue.backlog) == 0 {
 		return nil
 	}
-	queue.settle()
-	nearest := queue.nearest(count)
+	queue.raiseLagging()
+	lowest := queue.lowest(count)
 	var tags []berylspoke.Tag
-	for _, account := range nearest {
+	for _, account := range lowest {
 		tag := account.tag()
 		for i, request := range account.waiting[:min(count, len(account.waiting))] {
-			told := tag
+			reportedTag := tag
 			if i == 0 && account.running == 0 {
-				told -= slack
+				reportedTag -= slack
 			}
-			tags = append(tags, told)
+			tags = append(tags, reportedTag)
 			tag += account.weight.Normalise(account.estimator.estimate(request.Hint))
 		}
 	}
@@ -328,9 +337,9 @@
 	return tags[:min(count, len(tags))]
 }
 
-// nearest returns the count accounts of the lowest tags without sorting the
-// whole backlog: a walk down the heap that stops at each account too far.
-func (queue *Queue) nearest(count int) []*account {
+// lowest returns the count accounts with the lowest tags. It searches the heap from the
+// root and expands only accounts that it returns, so that it need not sort the backlog.
+func (queue *Queue) lowest(count int) []*account {
 	var found []*account
 	frontier := []int{0}
 	for len(frontier) > 0 && len(found) < count {
@@ -340,10 +349,10 @@
 				best = i
 			}
 		}
-		place := frontier[best]
+		index := frontier[best]
 		frontier = append(frontier[:best], frontier[best+1:]...)
-		found = append(found, queue.backlog[place])
-		for child := 2*place + 1; child <= 2*place+2 && child < len(queue.backlog); child++ {
+		found = append(found, queue.backlog[index])
+		for child := 2*index + 1; child <= 2*index+2 && child < len(queue.backlog); child++ {
 			frontier = append(frontier, child)
 		}
 	}
--- a/core/berylshare/share_test.go
+++ b/core/berylshare/share_test.go
@@ -17,13 +17,13 @@
 	return Options{Policy: FleetFair, CatchUp: 1_000_000, Lead: 100_000, MaxWaiting: 8, MaxPerOrganisation: 4}
 }
 
-// The scripts queue, start, charge and finish requests and show who goes next.
+// The scripts push, start, charge and finish requests and show the order of service.
 func TestQueueScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		queue := NewQueue(scriptOptions())
 		now := time.Unix(0, 0)
-		started := make(map[berylspoke.RequestID]*Started)
-		queue.SetTime(0, true)
+		started := make(map[berylspoke.RequestID]*StartedRequest)
+		queue.SetVirtualTime(0, true)
 		datadriven.RunTest(t, path, func(t *testing.T, step *datadriven.TestData) string {
 			var organisation, request string
 			var number int
@@ -43,7 +43,7 @@
 					return "error: " + err.Error()
 				}
 				if displaced != nil {
-					return fmt.Sprintf("displaced: %s of %s\n", displaced.Request, displaced.Organisation) + shares(queue)
+					return fmt.Sprintf("displaced: %s of %s\n", displaced.Request, displaced.Organisation) + formatOrganisations(queue)
 				}
 			case "pop":
 				next, ok := queue.Pop()
@@ -57,32 +57,31 @@
 			case "finish":
 				queue.Finish(started[berylspoke.RequestID(request)], berylspoke.Tokens(number))
 			case "time":
-				queue.SetTime(berylspoke.Tag(number), true)
+				queue.SetVirtualTime(berylspoke.Tag(number), true)
 			case "ledger":
-				queue.Take(Total{Organisation: berylspoke.OrganisationID(organisation), Tag: berylspoke.Tag(number)})
+				queue.ApplyTotal(Total{Organisation: berylspoke.OrganisationID(organisation), Tag: berylspoke.Tag(number)})
 			case "expire":
 				now = now.Add(time.Duration(number) * time.Second)
 				return fmt.Sprintf("%d expired", len(queue.Expire(now)))
 			case "tags":
 				return fmt.Sprint(queue.Tags(number, 0))
 			}
-			return shares(queue)
+			return formatOrganisations(queue)
 		})
 	})
 }
 
-func shares(queue *Queue) string {
+func formatOrganisations(queue *Queue) string {
 	var text strings.Builder
-	for _, share := range queue.Shares() {
-		fmt.Fprintf(&text, "%s: %d waiting, %d running, tag %d\n", share.Organisation, share.Waiting, share.Running, share.Tag)
+	for _, state := range queue.Organisations() {
+		fmt.Fprintf(&text, "%s: %d waiting, %d running, tag %d\n", state.Organisation, state.Waiting, state.Running, state.Tag)
 	}
 	return text.String()
 }
 
-// Reports of several entries are lost, doubled and overtaken, entries restart,
-// and the ledger restarts empty or forgets. Once each entry has been heard
-// again, the tag holds all service charged since the last restart of a ledger
-// and never less than what any entry knew.
+// Reports of several entry daemons are lost, duplicated and reordered, and the ledger
+// restarts empty. Guards against service that is counted twice or lost: the tag never
+// exceeds the service charged, and equals it once every entry daemon has reported again.
 func TestLedgerSumsInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(0, 0)
@@ -96,7 +95,7 @@
 			starts++
 			queue := NewQueue(scriptOptions())
 			queue.options.Lead = 1 << 60
-			queue.SetTime(0, true)
+			queue.SetVirtualTime(0, true)
 			queue.account("clergy", 1)
 			return entry{berylspoke.Process{VM: berylspoke.VMID(fmt.Sprint(vm)), Incarnation: starts}, queue}
 		}
@@ -112,7 +111,7 @@
 		deliver := func(item sent) {
 			total := ledger.Report(now, item.by, item.report)
 			if entries[item.entry].process == item.by {
-				entries[item.entry].queue.Take(total)
+				entries[item.entry].queue.ApplyTotal(total)
 			}
 		}
 		t.Repeat(map[string]func(*rapid.T){
@@ -139,42 +138,44 @@
 				}
 			},
 		})
-		settle := func() {
+		reportAll := func() {
 			for range 2 {
 				for i := range entries {
 					deliver(sent{i, entries[i].queue.Report(now, "model", "clergy"), entries[i].process})
 				}
 			}
 		}
-		settle()
+		reportAll()
 		wanted := berylspoke.Weight(1).Normalise(served)
 		for i := range entries {
 			if tag := entries[i].queue.account("clergy", 0).tag(); tag != wanted {
-				t.Fatalf("entry %d has tag %d, served were %d", i, tag, wanted)
+				t.Fatalf("entry daemon %d has tag %d, want %d", i, tag, wanted)
 			}
 		}
-		// A ledger that starts empty goes on from what the entries know.
+		// A ledger that starts empty continues from the totals that the entry daemons
+		// know.
 		ledger = NewLedger()
-		settle()
+		reportAll()
 		for i := range entries {
 			if tag := entries[i].queue.account("clergy", 0).tag(); tag != wanted {
-				t.Fatalf("entry %d has tag %d after the ledger's restart, want %d", i, tag, wanted)
+				t.Fatalf("entry daemon %d has tag %d after the ledger's restart, want %d", i, tag, wanted)
 			}
 		}
 	})
 }
 
-// An organisation used idle capacity elsewhere, or was cut off for an hour. At
-// this entry it must neither starve nor starve others beyond the bounds.
+// One organisation used idle capacity at other entry daemons, another was partitioned
+// from its ledger for an hour. At this entry daemon neither may starve, or starve
+// others, beyond the lead and catch-up bounds.
 func TestBoundsAroundVirtualTime(t *testing.T) {
 	queue := NewQueue(scriptOptions())
-	queue.SetTime(5_000_000, true)
+	queue.SetVirtualTime(5_000_000, true)
 	push := func(id berylspoke.OrganisationID) {
 		_, err := queue.Push(Waiting{Request: berylspoke.RequestID(id), Organisation: id, Hint: 1}, 1, 0)
 		require.NoError(t, err)
 	}
 	push("elsewhere")
-	queue.Take(Total{Organisation: "elsewhere", Tag: 900_000_000})
+	queue.ApplyTotal(Total{Organisation: "elsewhere", Tag: 900_000_000})
 	require.EqualValues(t, 5_100_000, queue.accounts["elsewhere"].tag())
 	push("cut-off")
 	queue.accounts["cut-off"].base, queue.accounts["cut-off"].floor = 0, 0
@@ -186,7 +187,7 @@
 	for _, count := range []int{10, 1000, 10_000, 100_000} {
 		b.Run(fmt.Sprintf("organisations=%d", count), func(b *testing.B) {
 			queue := NewQueue(Options{Policy: FleetFair, CatchUp: 1 << 40, Lead: 1 << 40})
-			queue.SetTime(0, true)
+			queue.SetVirtualTime(0, true)
 			for i := range count {
 				_, _ = queue.Push(Waiting{Organisation: berylspoke.OrganisationID(fmt.Sprint(i)), Hint: 100}, 1, 0)
 			}
