--- a/core/berylnode/calls.go
+++ b/core/berylnode/calls.go
@@ -1,6 +1,6 @@
 package berylnode
 
-// This file defines permits and the settling of non-idempotent requests.
+// This file defines how non-idempotent requests get permits and are settled.
 
 import (
 	"time"
@@ -9,125 +9,126 @@
 	"berylspoke/core/berylticket"
 )
 
-// permitRepeat is the time after which an unanswered message is repeated.
-const permitRepeat = 200 * time.Millisecond
+// resendAfter is the time after which an unanswered permit or settlement message is sent
+// again.
+const resendAfter = 200 * time.Millisecond
 
-// permitWait is a request that holds a slot and waits for its permit.
-type permitWait struct {
-	entry       *running
+// pendingPermit is a request that holds a slot and waits for its permit.
+type pendingPermit struct {
+	active      *activeRequest
 	since, sent time.Time
 }
 
-// settleWait is an id that this daemon asks about.
-type settleWait struct {
+// pendingSettlement is an ID whose outcome this daemon is finding out.
+type pendingSettlement struct {
 	id          berylticket.CallID
 	since, sent time.Time
 	atWitness   bool
 }
 
-// BeginCall returns what the owner knows of an id and whether it is new here.
+// BeginCall returns the owner's record of an ID and whether the call created it. A nil
+// record means that the outcome is forgotten.
 func (node *Node) BeginCall(now time.Time, id berylticket.CallID) (*berylticket.Record, bool) {
 	return node.owner.Begin(now, id)
 }
 
-// askPermit asks the witness before a non-idempotent request is dispatched.
-func (node *Node) askPermit(now time.Time, entry *running) {
-	id := *entry.call
+// requestPermit asks the witness for permission to dispatch a non-idempotent request.
+func (node *Node) requestPermit(now time.Time, active *activeRequest) {
+	id := *active.call
 	if !node.owner.Ask(now, id) {
-		node.abandon(now, entry, berylspoke.ReasonClosed)
+		node.abandon(now, active, berylspoke.ReasonClosed)
 		return
 	}
 	if id.Ticket.Witness == (berylspoke.Process{}) {
-		node.permitAnswered(now, berylticket.PermitAnswer{ID: id, Granted: true})
+		node.handlePermitAnswer(now, berylticket.PermitAnswer{ID: id, Granted: true})
 		if record := node.owner.Record(id); record != nil && record.Stage == berylticket.Dispatched {
-			node.launch(entry)
+			node.launch(active)
 		}
 		return
 	}
-	node.permits[id] = &permitWait{entry: entry, since: now, sent: now}
+	node.pendingPermits[id] = &pendingPermit{active: active, since: now, sent: now}
 	node.send(id.Ticket.Witness.VM, berylticket.PermitRequest{ID: id})
 }
 
-// abandon frees the slot of a request that is settled as not run.
-func (node *Node) abandon(now time.Time, entry *running, reason berylspoke.Reason) {
-	id := entry.started.Request
+// abandon refuses a request that is settled as not run and frees its slot.
+func (node *Node) abandon(now time.Time, active *activeRequest, reason berylspoke.Reason) {
+	id := active.started.Request
 	node.effects.Refusals = append(node.effects.Refusals, Refuse{id, &berylspoke.Refusal{
-		Verdict: berylspoke.NotRun, Reason: reason, RetryAfter: startingRetry,
+		Verdict: berylspoke.NotRun, Reason: reason, RetryAfter: startingRetryAfter,
 	}})
 	node.Finish(now, id, Outcome{Verdict: berylspoke.NotRun})
 }
 
-func (node *Node) permitAnswered(now time.Time, answer berylticket.PermitAnswer) {
+func (node *Node) handlePermitAnswer(now time.Time, answer berylticket.PermitAnswer) {
 	dispatch, refused := node.owner.Permit(now, answer.ID, answer.Granted)
-	wait := node.permits[answer.ID]
-	delete(node.permits, answer.ID)
+	wait := node.pendingPermits[answer.ID]
+	delete(node.pendingPermits, answer.ID)
 	if wait == nil {
 		return
 	}
 	if dispatch {
-		node.launch(wait.entry)
+		node.launch(wait.active)
 	}
 	if refused {
-		node.abandon(now, wait.entry, berylspoke.ReasonWitness)
+		node.abandon(now, wait.active, berylspoke.ReasonWitness)
 	}
 }
 
-// tickPermits repeats unanswered requests and gives up on a lost witness. The
-// owner settles the id as not run for itself first, so a permit that arrives
-// later finds it finished and starts nothing.
+// tickPermits resends unanswered permit requests and gives up on a witness that does not
+// answer. The owner first records the ID as not run, so a permit that arrives later finds
+// it finished and dispatches nothing.
 func (node *Node) tickPermits(now time.Time) {
-	for id, wait := range node.permits {
+	for id, wait := range node.pendingPermits {
 		switch {
 		case now.Sub(wait.since) > node.options.PermitTimeout:
-			delete(node.permits, id)
+			delete(node.pendingPermits, id)
 			if node.owner.GiveUp(now, id) {
-				node.abandon(now, wait.entry, berylspoke.ReasonWitness)
+				node.abandon(now, wait.active, berylspoke.ReasonWitness)
 			}
-		case now.Sub(wait.sent) > permitRepeat:
+		case now.Sub(wait.sent) > resendAfter:
 			wait.sent = now
 			node.send(id.Ticket.Witness.VM, berylticket.PermitRequest{ID: id})
 		}
 	}
 }
 
-// Settle finds out what became of an id; the answer arrives as an effect under
-// the token.
+// Settle finds out the outcome of an ID, which arrives as a Settled effect with the token.
 func (node *Node) Settle(now time.Time, token uint64, id berylticket.CallID) {
 	if node.owner.Owns(id) {
-		node.settled(token, node.owner.Settle(now, id))
+		node.completeSettlement(token, node.owner.Settle(now, id))
 		return
 	}
-	wait := &settleWait{id: id, since: now}
-	node.settles[token] = wait
+	wait := &pendingSettlement{id: id, since: now}
+	node.pendingSettlements[token] = wait
 	if node.table.Known(id.Ticket.Owner.VM) > id.Ticket.Owner.Incarnation {
-		node.askWitness(now, token, wait)
+		node.settleAtWitness(now, token, wait)
 		return
 	}
-	node.askSettle(now, token, wait)
+	node.sendSettleRequest(now, token, wait)
 }
 
-func (node *Node) settled(token uint64, standing berylticket.Standing) {
-	delete(node.settles, token)
+func (node *Node) completeSettlement(token uint64, standing berylticket.Standing) {
+	delete(node.pendingSettlements, token)
 	node.effects.Settled = append(node.effects.Settled, Settled{token, standing})
 }
 
-// askWitness turns to the witness when the owner is gone or silent. Only a
-// close by the named witness process proves "not run"; the owner's silence
-// proves nothing, since it may be frozen between its permit and its dispatch.
-func (node *Node) askWitness(now time.Time, token uint64, wait *settleWait) {
+// settleAtWitness asks the witness when the owner is gone or does not answer. Only a close
+// by the witness process named in the ticket proves "not run". A silent owner proves
+// nothing: it may be frozen between getting its permit and dispatching.
+func (node *Node) settleAtWitness(now time.Time, token uint64, wait *pendingSettlement) {
 	wait.atWitness, wait.since = true, now
 	witness := wait.id.Ticket.Witness
 	switch {
 	case witness == (berylspoke.Process{}):
-		node.settled(token, berylticket.StandsMayHaveRun)
+		node.completeSettlement(token, berylticket.StandsMayHaveRun)
 	case witness == node.self:
-		node.settled(token, node.witness.Close(wait.id))
+		node.completeSettlement(token, node.witness.Close(wait.id))
 	default:
-		node.askSettle(now, token, wait)
+		node.sendSettleRequest(now, token, wait)
 	}
 }
 
-func (node *Node) askSettle(now time.Time, token uint64, wait *settleWait) {
+func (node *Node) sendSettleRequest(now time.Time, token uint64, wait *pendingSettlement) {
 	wait.sent = now
 	if wait.atWitness {
 		node.send(wait.id.Ticket.Witness.VM, berylticket.CloseRequest{ID: wait.id, Token: token})
@@ -136,30 +137,30 @@
 	node.send(wait.id.Ticket.Owner.VM, berylticket.SettleRequest{ID: wait.id, Token: token})
 }
 
-func (node *Node) settleAnswered(now time.Time, answer berylticket.SettleAnswer) {
-	wait := node.settles[answer.Token]
+func (node *Node) handleSettleAnswer(now time.Time, answer berylticket.SettleAnswer) {
+	wait := node.pendingSettlements[answer.Token]
 	if wait == nil || wait.id != answer.ID || wait.atWitness != answer.ByWitness {
 		return
 	}
 	switch {
 	case answer.Standing != berylticket.Unknowable:
-		node.settled(answer.Token, answer.Standing)
+		node.completeSettlement(answer.Token, answer.Standing)
 	case wait.atWitness:
-		node.settled(answer.Token, berylticket.StandsMayHaveRun)
+		node.completeSettlement(answer.Token, berylticket.StandsMayHaveRun)
 	default:
-		node.askWitness(now, answer.Token, wait)
+		node.settleAtWitness(now, answer.Token, wait)
 	}
 }
 
-func (node *Node) tickSettles(now time.Time) {
-	for token, wait := range node.settles {
+func (node *Node) tickSettlements(now time.Time) {
+	for token, wait := range node.pendingSettlements {
 		switch {
 		case now.Sub(wait.since) > node.options.SettleTimeout && wait.atWitness:
-			node.settled(token, berylticket.StandsMayHaveRun)
+			node.completeSettlement(token, berylticket.StandsMayHaveRun)
 		case now.Sub(wait.since) > node.options.SettleTimeout:
-			node.askWitness(now, token, wait)
-		case now.Sub(wait.sent) > permitRepeat:
-			node.askSettle(now, token, wait)
+			node.settleAtWitness(now, token, wait)
+		case now.Sub(wait.sent) > resendAfter:
+			node.sendSettleRequest(now, token, wait)
 		}
 	}
 }
--- a/core/berylnode/calls_test.go
+++ b/core/berylnode/calls_test.go
@@ -13,8 +13,9 @@
 	"berylspoke/core/berylticket"
 )
 
-// deskFleet is a fleet in two regions before two desks, ready to serve.
-func deskFleet(seed uint64) *fakeFleet {
+// plainServiceFleet returns a running fleet in two regions with two targets of a plain
+// service.
+func plainServiceFleet(seed uint64) *fakeFleet {
 	fleet := newFakeFleet(seed, fakeVMs("a1", "a2", "b1", "b1"))
 	targets := map[berylspoke.TargetID]berylconfig.Target{
 		"desk-a": {Service: "desk", FailureDomain: "a1"},
@@ -27,185 +28,186 @@
 	return fleet
 }
 
-// filing is one id under test and what was said of it.
-type filing struct {
+// testCall is an ID under test with the requests and settlements made for it.
+type testCall struct {
 	id       berylticket.CallID
 	requests []berylspoke.RequestID
 	tokens   []uint64
 }
 
-// callWorld draws calls and faults.
-type callWorld struct {
+// callSimulation draws non-idempotent calls and faults in a fake fleet.
+type callSimulation struct {
 	*fakeFleet
-	filings []*filing
-	tokens  uint64
-	cuts    map[[2]berylspoke.VMID]bool
+	calls  []*testCall
+	tokens uint64
+	cuts   map[[2]berylspoke.VMID]bool
 }
 
-func (world *callWorld) vm(t *rapid.T) berylspoke.VMID {
-	return world.vms[rapid.IntRange(0, len(world.vms)-1).Draw(t, "vm")].ID
+func (sim *callSimulation) drawVM(t *rapid.T) berylspoke.VMID {
+	return sim.vms[rapid.IntRange(0, len(sim.vms)-1).Draw(t, "vm")].ID
 }
 
-// filing draws one of the filings, nil before the first.
-func (world *callWorld) filing(t *rapid.T) *filing {
-	if len(world.filings) == 0 {
+// drawCall draws one of the calls made so far, nil if there is none.
+func (sim *callSimulation) drawCall(t *rapid.T) *testCall {
+	if len(sim.calls) == 0 {
 		return nil
 	}
-	return world.filings[rapid.IntRange(0, len(world.filings)-1).Draw(t, "filing")]
+	return sim.calls[rapid.IntRange(0, len(sim.calls)-1).Draw(t, "call")]
 }
 
-// call brings an id to a daemon, as a caller or a caller's retry does.
-func (world *callWorld) call(vm berylspoke.VMID, filing *filing) {
-	node := world.nodes[vm]
-	if filing == nil || node == nil || world.frozen[vm] || !node.Ready() {
+// submitCall submits an ID at a daemon, as a caller's first attempt or retry does. A
+// daemon that does not own the ID settles it.
+func (sim *callSimulation) submitCall(vm berylspoke.VMID, call *testCall) {
+	node := sim.nodes[vm]
+	if call == nil || node == nil || sim.frozen[vm] || !node.Ready() {
 		return
 	}
-	if !node.Owner().Owns(filing.id) {
-		world.settle(vm, filing)
+	if !node.Owner().Owns(call.id) {
+		sim.settle(vm, call)
 		return
 	}
-	if _, fresh := node.BeginCall(world.now, filing.id); !fresh {
+	if _, fresh := node.BeginCall(sim.now, call.id); !fresh {
 		return
 	}
-	request := berylspoke.RequestID(fmt.Sprintf("%s#%d", filing.id, len(filing.requests)))
-	filing.requests = append(filing.requests, request)
-	world.submit(vm, "desk", "clergy", request, 4, &filing.id)
+	request := berylspoke.RequestID(fmt.Sprintf("%s#%d", call.id, len(call.requests)))
+	call.requests = append(call.requests, request)
+	sim.submit(vm, "desk", "clergy", request, 4, &call.id)
 }
 
-func (world *callWorld) settle(vm berylspoke.VMID, filing *filing) {
-	node := world.nodes[vm]
-	if filing == nil || node == nil || world.frozen[vm] {
+func (sim *callSimulation) settle(vm berylspoke.VMID, call *testCall) {
+	node := sim.nodes[vm]
+	if call == nil || node == nil || sim.frozen[vm] {
 		return
 	}
-	world.tokens++
-	filing.tokens = append(filing.tokens, world.tokens)
-	node.Settle(world.now, world.tokens, filing.id)
-	world.carryOut(vm, node)
+	sim.tokens++
+	call.tokens = append(call.tokens, sim.tokens)
+	node.Settle(sim.now, sim.tokens, call.id)
+	sim.applyEffects(vm, node)
 }
 
-// saidNotRun says whether anyone was told that the id did not run.
-func (world *callWorld) saidNotRun(filing *filing) bool {
-	for _, token := range filing.tokens {
-		if world.settled[token] == berylticket.StandsNotRun {
+// reportedNotRun reports whether any answer said that the ID did not run.
+func (sim *callSimulation) reportedNotRun(call *testCall) bool {
+	for _, token := range call.tokens {
+		if sim.settled[token] == berylticket.StandsNotRun {
 			return true
 		}
 	}
-	for _, request := range filing.requests {
-		if refusal := world.refused[request]; refusal != nil && refusal.Verdict == berylspoke.NotRun {
+	for _, request := range call.requests {
+		if refusal := sim.refused[request]; refusal != nil && refusal.Verdict == berylspoke.NotRun {
 			return true
 		}
 	}
 	return false
 }
 
-func (world *callWorld) check(t *rapid.T) {
-	for _, filing := range world.filings {
-		count := world.executions[filing.id]
+func (sim *callSimulation) check(t *rapid.T) {
+	for _, call := range sim.calls {
+		count := sim.executions[call.id]
 		if count > 1 {
-			t.Fatalf("%s ran %d times", filing.id, count)
+			t.Fatalf("%s ran %d times", call.id, count)
 		}
-		if count > 0 && world.saidNotRun(filing) {
-			t.Fatalf("%s ran and was reported as not run", filing.id)
+		if count > 0 && sim.reportedNotRun(call) {
+			t.Fatalf("%s ran and was reported as not run", call.id)
 		}
 	}
 }
 
-func (world *callWorld) heal() {
-	clear(world.cuts)
-	clear(world.frozen)
-	world.loss = 0
-	for _, vm := range world.vms {
-		if world.nodes[vm.ID] == nil {
-			world.start(vm)
+func (sim *callSimulation) heal() {
+	clear(sim.cuts)
+	clear(sim.frozen)
+	sim.loss = 0
+	for _, vm := range sim.vms {
+		if sim.nodes[vm.ID] == nil {
+			sim.start(vm)
 		}
 	}
 }
 
-// A caller files a letter, loses its daemon and asks another one, while daemons
-// crash, freeze past every timeout, wake up and are cut from each other, and
-// messages are lost, doubled and delayed. The letter is filed once or never,
-// "not run" stays true, and once the failures stop every question is answered.
+// Callers retry and settle non-idempotent requests at several daemons, while daemons
+// crash, freeze beyond every timeout and resume, links are cut, and messages are lost,
+// duplicated and delayed. Guards against a request that runs twice or runs after "not
+// run" was reported, and against a settlement without an answer once the faults stop.
 func TestCallsUnderDrawnFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		world := &callWorld{fakeFleet: deskFleet(rapid.Uint64().Draw(t, "seed")), cuts: make(map[[2]berylspoke.VMID]bool)}
-		world.cut = func(from, to berylspoke.VMID) bool { return world.cuts[[2]berylspoke.VMID{from, to}] }
-		world.loss, world.repeat = 0.05, 0.2
+		sim := &callSimulation{fakeFleet: plainServiceFleet(rapid.Uint64().Draw(t, "seed")), cuts: make(map[[2]berylspoke.VMID]bool)}
+		sim.cut = func(from, to berylspoke.VMID) bool { return sim.cuts[[2]berylspoke.VMID{from, to}] }
+		sim.loss, sim.duplication = 0.05, 0.2
 		t.Repeat(map[string]func(*rapid.T){
 			"mint": func(t *rapid.T) {
-				vm := world.vm(t)
-				if node := world.nodes[vm]; node != nil && !world.frozen[vm] && node.Ready() {
+				vm := sim.drawVM(t)
+				if node := sim.nodes[vm]; node != nil && !sim.frozen[vm] && node.Ready() {
 					_, ticket := node.Resolve("clergy")
-					world.filings = append(world.filings, &filing{id: berylticket.CallID{Ticket: ticket}})
-					world.call(vm, world.filings[len(world.filings)-1])
+					sim.calls = append(sim.calls, &testCall{id: berylticket.CallID{Ticket: ticket}})
+					sim.submitCall(vm, sim.calls[len(sim.calls)-1])
 				}
 			},
-			"retry":  func(t *rapid.T) { world.call(world.vm(t), world.filing(t)) },
-			"settle": func(t *rapid.T) { world.settle(world.vm(t), world.filing(t)) },
-			"crash":  func(t *rapid.T) { world.crash(world.vm(t)) },
+			"retry":  func(t *rapid.T) { sim.submitCall(sim.drawVM(t), sim.drawCall(t)) },
+			"settle": func(t *rapid.T) { sim.settle(sim.drawVM(t), sim.drawCall(t)) },
+			"crash":  func(t *rapid.T) { sim.crash(sim.drawVM(t)) },
 			"restart": func(t *rapid.T) {
-				vm := world.vms[rapid.IntRange(0, len(world.vms)-1).Draw(t, "vm")]
-				world.crash(vm.ID)
-				world.start(vm)
+				vm := sim.vms[rapid.IntRange(0, len(sim.vms)-1).Draw(t, "vm")]
+				sim.crash(vm.ID)
+				sim.start(vm)
 			},
-			"freeze": func(t *rapid.T) { world.frozen[world.vm(t)] = true },
-			"thaw":   func(t *rapid.T) { delete(world.frozen, world.vm(t)) },
-			"cut":    func(t *rapid.T) { world.cuts[[2]berylspoke.VMID{world.vm(t), world.vm(t)}] = true },
-			"rejoin": func(*rapid.T) { clear(world.cuts) },
+			"freeze": func(t *rapid.T) { sim.frozen[sim.drawVM(t)] = true },
+			"thaw":   func(t *rapid.T) { delete(sim.frozen, sim.drawVM(t)) },
+			"cut":    func(t *rapid.T) { sim.cuts[[2]berylspoke.VMID{sim.drawVM(t), sim.drawVM(t)}] = true },
+			"rejoin": func(*rapid.T) { clear(sim.cuts) },
 			"wait": func(t *rapid.T) {
 				millis := rapid.SampledFrom([]int{2, 20, 200, 1500, 5000}).Draw(t, "millis")
-				world.run(time.Duration(millis)*time.Millisecond, time.Duration(min(millis, 20))*time.Millisecond)
+				sim.run(time.Duration(millis)*time.Millisecond, time.Duration(min(millis, 20))*time.Millisecond)
 			},
-			"": world.check,
+			"": sim.check,
 		})
-		world.heal()
-		world.run(12*time.Second, 20*time.Millisecond)
-		world.check(t)
-		for _, filing := range world.filings {
-			world.settle(world.vms[0].ID, filing)
+		sim.heal()
+		sim.run(12*time.Second, 20*time.Millisecond)
+		sim.check(t)
+		for _, call := range sim.calls {
+			sim.settle(sim.vms[0].ID, call)
 		}
-		world.run(4*time.Second, 20*time.Millisecond)
-		world.check(t)
-		for _, filing := range world.filings {
-			last := filing.tokens[len(filing.tokens)-1]
-			if _, answered := world.settled[last]; !answered {
-				t.Fatalf("%s is not settled after the failures stopped", filing.id)
+		sim.run(4*time.Second, 20*time.Millisecond)
+		sim.check(t)
+		for _, call := range sim.calls {
+			last := call.tokens[len(call.tokens)-1]
+			if _, answered := sim.settled[last]; !answered {
+				t.Fatalf("%s is not settled after the failures stopped", call.id)
 			}
 		}
 	})
 }
 
-// The owner obtains the permit and freezes before it dispatches. A caller that
-// asks elsewhere must hear "may have run", since the owner wakes up and runs it.
+// The owner obtains a permit and freezes. Another daemon that settles the ID must report
+// "may have run", since the owner may have dispatched it or may do so when it resumes.
 func TestFrozenOwnerWithPermit(t *testing.T) {
-	world := &callWorld{fakeFleet: deskFleet(3)}
-	owner := world.vms[0].ID
-	_, ticket := world.nodes[owner].Resolve("clergy")
-	held := &filing{id: berylticket.CallID{Ticket: ticket}}
-	world.call(owner, held)
-	world.run(time.Second, 10*time.Millisecond)
-	require.Equal(t, 1, world.executions[held.id])
-	world.frozen[owner] = true
-	world.settle(world.vms[3].ID, held)
-	world.run(4*time.Second, 10*time.Millisecond)
-	require.Equal(t, berylticket.StandsMayHaveRun, world.settled[world.tokens])
+	sim := &callSimulation{fakeFleet: plainServiceFleet(3)}
+	owner := sim.vms[0].ID
+	_, ticket := sim.nodes[owner].Resolve("clergy")
+	call := &testCall{id: berylticket.CallID{Ticket: ticket}}
+	sim.submitCall(owner, call)
+	sim.run(time.Second, 10*time.Millisecond)
+	require.Equal(t, 1, sim.executions[call.id])
+	sim.frozen[owner] = true
+	sim.settle(sim.vms[3].ID, call)
+	sim.run(4*time.Second, 10*time.Millisecond)
+	require.Equal(t, berylticket.StandsMayHaveRun, sim.settled[sim.tokens])
 }
 
-// The owner freezes before its witness hears of the id. A caller that asks
-// elsewhere hears "not run" and files anew; the owner wakes up and must not run
-// the old id.
+// The owner freezes before its permit request reaches the witness. Another daemon settles
+// the ID as "not run", so the caller may submit a new one. When the owner resumes it must
+// not run the old ID.
 func TestFrozenOwnerWithoutPermit(t *testing.T) {
-	world := &callWorld{fakeFleet: deskFleet(4)}
-	owner := world.vms[0].ID
-	_, ticket := world.nodes[owner].Resolve("clergy")
-	held := &filing{id: berylticket.CallID{Ticket: ticket}}
-	world.cut = func(from, to berylspoke.VMID) bool { return from == owner && to == ticket.Witness.VM }
-	world.call(owner, held)
-	world.frozen[owner] = true
-	world.settle(world.vms[3].ID, held)
-	world.run(4*time.Second, 10*time.Millisecond)
-	require.Equal(t, berylticket.StandsNotRun, world.settled[world.tokens])
-	world.cut = func(berylspoke.VMID, berylspoke.VMID) bool { return false }
-	delete(world.frozen, owner)
-	world.run(4*time.Second, 10*time.Millisecond)
-	require.Zero(t, world.executions[held.id])
+	sim := &callSimulation{fakeFleet: plainServiceFleet(4)}
+	owner := sim.vms[0].ID
+	_, ticket := sim.nodes[owner].Resolve("clergy")
+	call := &testCall{id: berylticket.CallID{Ticket: ticket}}
+	sim.cut = func(from, to berylspoke.VMID) bool { return from == owner && to == ticket.Witness.VM }
+	sim.submitCall(owner, call)
+	sim.frozen[owner] = true
+	sim.settle(sim.vms[3].ID, call)
+	sim.run(4*time.Second, 10*time.Millisecond)
+	require.Equal(t, berylticket.StandsNotRun, sim.settled[sim.tokens])
+	sim.cut = func(berylspoke.VMID, berylspoke.VMID) bool { return false }
+	delete(sim.frozen, owner)
+	sim.run(4*time.Second, 10*time.Millisecond)
+	require.Zero(t, sim.executions[call.id])
 }
--- a/core/berylnode/config.go
+++ b/core/berylnode/config.go
@@ -1,6 +1,6 @@
 package berylnode
 
-// This file defines how the configuration spreads and when a start is complete.
+// This file defines how the configuration is distributed and when startup is complete.
 
 import (
 	"time"
@@ -12,46 +12,47 @@
 )
 
 const (
-	// pullBytes bounds the entries of one answer.
-	pullBytes = 256 << 10
-	// pullTimeout is the time after which another peer is asked.
+	// maxPullBytes bounds the configuration entries of one answer.
+	maxPullBytes = 256 << 10
+	// pullTimeout is the time without an answer after which another peer may be asked.
 	pullTimeout = 500 * time.Millisecond
-	// startupGrace is how long a daemon waits for peers that do not answer.
+	// startupGrace is how long a starting daemon waits for peers that do not answer.
 	startupGrace = 3 * time.Second
-	// startupRepeat is the time between two questions to a silent peer.
-	startupRepeat = 300 * time.Millisecond
-	// startupPeers bounds the peers asked at a start.
-	startupPeers = 8
-	// watchersPerDomain is the number of daemons in a failure domain that watch
-	// the platform; the others hear from peers.
+	// startupResendAfter is the time between two messages to a peer that does not answer.
+	startupResendAfter = 300 * time.Millisecond
+	// maxStartupPeers bounds the peers asked during startup.
+	maxStartupPeers = 8
+	// watchersPerDomain is the number of daemons in a failure domain that watch the
+	// platform; the others get updates from peers.
 	watchersPerDomain = 2
 )
 
+// startupPeer is the state of a peer that a starting daemon asks.
 type startupPeer struct {
 	sent time.Time
-	// heard says that a heartbeat of the peer came, which names an earlier run of this
-	// daemon if the peer knows one.
-	heard    bool
-	answered bool
-	serving  bool
+	// heartbeatReceived reports whether a heartbeat of the peer arrived, which names an
+	// earlier run of this daemon if the peer knows one.
+	heartbeatReceived bool
+	answered          bool
+	serving           bool
 }
 
-// startup is what a daemon that started empty has learnt so far.
+// startup is the progress of a daemon that started without state.
 type startup struct {
 	since  time.Time
 	listed bool
-	asked  map[berylspoke.VMID]*startupPeer
+	peers  map[berylspoke.VMID]*startupPeer
 	done   bool
 }
 
-// Ready says whether the daemon serves callers.
-func (node *Node) Ready() bool { return node.start.done }
+// Ready reports whether the daemon serves callers.
+func (node *Node) Ready() bool { return node.startup.done }
 
-// AddPatches folds what the platform or a peer published.
+// AddPatches applies configuration entries from the platform or a peer.
 func (node *Node) AddPatches(now time.Time, entries []berylspoke.Published) {
 	before := node.store.State().Number
 	if node.store.Add(entries) {
-		node.place(now)
+		node.updatePlacement(now)
 	}
 	if node.store.State().Number > before {
 		node.effects.Reconfigured = true
@@ -59,8 +60,8 @@
 	}
 }
 
-// announce tells the linked peers at once, so that a change crosses the fleet
-// in a few hops.
+// announce sends the configuration number to the linked peers at once, so that a change
+// reaches the whole fleet in a few hops.
 func (node *Node) announce() {
 	beat := berylmember.Heartbeat{Self: node.table.Member(node.self.VM).Rumour}
 	beat.Number, beat.Serving = node.store.State().Number, node.Ready()
@@ -72,13 +73,13 @@
 	}
 }
 
-// heard takes a heartbeat and pulls the entries that its sender has and this
-// daemon lacks.
-func (node *Node) heard(now time.Time, beat berylmember.Heartbeat) {
-	if peer := node.start.asked[beat.Self.Process.VM]; peer != nil {
-		peer.heard = true
+// handleHeartbeat merges a heartbeat and pulls the configuration entries that its sender
+// has and this daemon lacks.
+func (node *Node) handleHeartbeat(now time.Time, beat berylmember.Heartbeat) {
+	if peer := node.startup.peers[beat.Self.Process.VM]; peer != nil {
+		peer.heartbeatReceived = true
 	}
-	defer node.succeed(now)
+	defer node.raiseIncarnation(now)
 	if reply := node.table.Hear(now, beat); reply != nil {
 		reply.Number, reply.Serving = node.store.State().Number, node.Ready()
 		node.send(beat.Self.Process.VM, *reply)
@@ -86,27 +87,28 @@
 	if beat.Number > node.store.State().Number {
 		node.pull(now, beat.Self.Process.VM)
 	}
-	node.place(now)
+	node.updatePlacement(now)
 }
 
-// succeed takes an incarnation above that of an earlier run of this daemon, if the
-// clock of its VM went back in between: peers would take it for that run. Nothing is
-// owned yet, as no request is served before the start is complete.
-func (node *Node) succeed(now time.Time) {
+// raiseIncarnation takes an incarnation above that of an earlier run of this daemon if
+// the VM's clock went back between the runs; otherwise peers would take this run for the
+// earlier one. Its owner and witness state can be replaced, since no request is served
+// before startup is complete.
+func (node *Node) raiseIncarnation(now time.Time) {
 	earlier := node.table.Earlier()
-	if earlier == 0 || node.start.done {
+	if earlier == 0 || node.startup.done {
 		return
 	}
 	node.self.Incarnation = earlier.Next(node.random.Uint64())
 	node.table.Succeed(node.self.Incarnation)
-	node.owner = berylticket.NewOwner(node.self, node.options.Records)
-	node.witness = berylticket.NewWitness(node.self, node.options.Records)
-	node.services, node.placed = make(map[berylspoke.ServiceID]*service), placedFor{}
-	node.place(now)
+	node.owner = berylticket.NewOwner(node.self, node.options.MaxRecords)
+	node.witness = berylticket.NewWitness(node.self, node.options.MaxRecords)
+	node.services, node.placement = make(map[berylspoke.ServiceID]*service), placementKey{}
+	node.updatePlacement(now)
 }
 
-// pull asks a peer for what this daemon lacks. Several peers announce one change
-// at the same moment; only the first is asked, unless it does not answer.
+// pull asks a peer for the configuration entries that this daemon lacks. Several peers
+// announce a change at the same time; only the first is asked, unless it does not answer.
 func (node *Node) pull(now time.Time, from berylspoke.VMID) {
 	if now.Sub(node.pulledAt) < pullTimeout {
 		return
@@ -115,25 +117,25 @@
 	node.send(from, berylconfig.PullRequest{After: node.store.State().Number})
 }
 
-func (node *Node) pulled(from berylspoke.VMID, request berylconfig.PullRequest) {
+func (node *Node) handlePullRequest(from berylspoke.VMID, request berylconfig.PullRequest) {
 	answer := berylconfig.PullAnswer{Number: node.store.State().Number, Serving: node.Ready()}
-	entries, kept := node.store.After(request.After, pullBytes)
+	entries, retained := node.store.After(request.After, maxPullBytes)
 	answer.Entries = entries
-	if !kept {
+	if !retained {
 		answer.Snapshot = node.store.Snapshot()
 	}
 	node.send(from, answer)
 }
 
-func (node *Node) pullAnswered(now time.Time, from berylspoke.VMID, answer berylconfig.PullAnswer) {
-	if peer := node.start.asked[from]; peer != nil {
+func (node *Node) handlePullAnswer(now time.Time, from berylspoke.VMID, answer berylconfig.PullAnswer) {
+	if peer := node.startup.peers[from]; peer != nil {
 		peer.answered, peer.serving = true, answer.Serving
 	}
 	node.pulledAt = time.Time{}
 	before := node.store.State().Number
 	if len(answer.Snapshot) > 0 && node.store.Adopt(answer.Snapshot) {
 		node.effects.Reconfigured = true
-		node.place(now)
+		node.updatePlacement(now)
 	}
 	node.AddPatches(now, answer.Entries)
 	number := node.store.State().Number
@@ -142,39 +144,38 @@
 	}
 }
 
-// tickStartup asks peers for the configuration before the first request is
-// served.
+// tickStartup asks peers for the configuration before the first request is served.
 //
-// The platform may be stale, and a daemon that starts empty has no memory of a
-// newer version. A serving peer has it: one that answered and whose entries
-// were folded is enough. If all that answer are starting too, the platform's
-// word is all there is. A daemon that no peer answers, although some are listed,
-// is cut off and does not serve: it might put an old version into force. That
-// it believes them dead proves nothing, since it would if it were cut off.
+// The platform may be stale, and a daemon that starts without state does not know of a
+// newer version. A serving peer does: one that answered and whose entries were applied is
+// enough. If all peers that answer are starting too, the platform is the only source. A
+// daemon that gets no answer although peers are listed is partitioned and does not serve,
+// as it might put an old version into force. That it believes these peers dead proves
+// nothing: it would believe so in a partition too.
 func (node *Node) tickStartup(now time.Time) {
-	if node.start.done {
+	if node.startup.done {
 		return
 	}
-	if node.start.listed {
-		node.askPeers(now)
+	if node.startup.listed {
+		node.queryPeers(now)
 	}
-	node.start.done = node.startComplete(now)
+	node.startup.done = node.startComplete(now)
 }
 
-func (node *Node) askPeers(now time.Time) {
-	for _, vm := range berylmember.Ranked("start "+string(node.self.VM), node.table.Live(), startupPeers+1) {
+func (node *Node) queryPeers(now time.Time) {
+	for _, vm := range berylmember.Ranked("start "+string(node.self.VM), node.table.Live(), maxStartupPeers+1) {
 		if vm == node.self.VM {
 			continue
 		}
-		peer := node.start.asked[vm]
+		peer := node.startup.peers[vm]
 		if peer == nil {
 			peer = new(startupPeer)
-			node.start.asked[vm] = peer
+			node.startup.peers[vm] = peer
 		}
-		if now.Sub(peer.sent) <= startupRepeat {
+		if now.Sub(peer.sent) <= startupResendAfter {
 			continue
 		}
-		if !peer.heard {
+		if !peer.heartbeatReceived {
 			peer.sent = now
 			node.send(vm, berylmember.Heartbeat{Self: node.table.Member(node.self.VM).Rumour, Sync: true})
 		}
@@ -186,41 +187,41 @@
 }
 
 func (node *Node) startComplete(now time.Time) bool {
-	if !node.start.listed || node.store.State().Version == 0 {
+	if !node.startup.listed || node.store.State().Version == 0 {
 		return false
 	}
-	behind, open, answered, serving := false, 0, 0, 0
-	for vm, peer := range node.start.asked {
+	behind, pending, answered, serving := false, 0, 0, 0
+	for vm, peer := range node.startup.peers {
 		member := node.table.Member(vm)
 		switch {
 		case member == nil || !member.Listed:
 			continue
-		case !peer.answered || !peer.heard:
-			open++
+		case !peer.answered || !peer.heartbeatReceived:
+			pending++
 		default:
 			answered++
 		}
 		if member.Number > node.store.State().Number {
 			behind = true
 		}
-		if peer.serving && peer.heard {
+		if peer.serving && peer.heartbeatReceived {
 			serving++
 		}
 	}
-	waited := now.Sub(node.start.since) > startupGrace
+	graceExpired := now.Sub(node.startup.since) > startupGrace
 	switch {
-	case behind && !waited:
+	case behind && !graceExpired:
 		return false
-	case serving > 0 || open+answered == 0:
+	case serving > 0 || pending+answered == 0:
 		return true
 	default:
-		return answered > 0 && (open == 0 || waited)
+		return answered > 0 && (pending == 0 || graceExpired)
 	}
 }
 
-// Watches says whether this daemon watches the platform for patches. A few do
-// so in each failure domain; any daemon does until it is ready, so that a lost
-// watcher or a cut cannot keep a domain from news for long.
+// Watches reports whether this daemon watches the platform for patches. A few daemons in
+// each failure domain do, chosen among the live ones. A daemon that is not ready always
+// does, so that a lost watcher or a partition cannot delay updates for long.
 func (node *Node) Watches(now time.Time) bool {
 	if !node.Ready() {
 		return true
--- a/core/berylnode/config_test.go
+++ b/core/berylnode/config_test.go
@@ -11,7 +11,7 @@
 	"berylspoke"
 )
 
-// configFleet is a fleet whose platform may go back.
+// configFleet returns a running fleet with one accepted patch.
 func configFleet(seed uint64) *fakeFleet {
 	fleet := newFakeFleet(seed, fakeVMs("a1", "a1", "a2", "b1"))
 	fleet.publish(fakePatch(nil, map[berylspoke.OrganisationID]berylspoke.Weight{"clergy": 1}))
@@ -20,6 +20,7 @@
 	return fleet
 }
 
+// highest returns the highest configuration version of all nodes.
 func (fleet *fakeFleet) highest() berylspoke.ConfigVersion {
 	var highest berylspoke.ConfigVersion
 	for _, node := range fleet.nodes {
@@ -33,20 +34,20 @@
 		`{"base":%d,"organisations":{"clergy":{"weight":%d,"keyDigests":[]}}}`, fleet.highest(), weight)))
 }
 
-// The platform shows an old history, is down or comes back, daemons restart
-// empty one at a time, and messages are lost and doubled. No VM ever serves a
-// lower version than it served before, and after the failures stop every daemon
-// serves the last version.
+// The platform shows a stale history, fails and recovers, daemons restart without state
+// one at a time, and messages are lost and duplicated. Guards against a VM that serves a
+// lower version than before, and against a daemon that does not reach the latest version
+// once the faults stop.
 func TestServedVersionNeverReverts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fleet := configFleet(rapid.Uint64().Draw(t, "seed"))
-		fleet.loss, fleet.repeat = 0.1, 0.2
+		fleet.loss, fleet.duplication = 0.1, 0.2
 		served := make(map[berylspoke.VMID]berylspoke.ConfigVersion)
 		t.Repeat(map[string]func(*rapid.T){
 			"publish": func(*rapid.T) { fleet.publishWeight(1 + len(fleet.patches)%9) },
-			"stale":   func(t *rapid.T) { fleet.shown = rapid.IntRange(1, len(fleet.patches)).Draw(t, "shown") },
-			"down":    func(*rapid.T) { fleet.platform = false },
-			"up":      func(*rapid.T) { fleet.platform = true },
+			"stale":   func(t *rapid.T) { fleet.visiblePatches = rapid.IntRange(1, len(fleet.patches)).Draw(t, "shown") },
+			"down":    func(*rapid.T) { fleet.platformUp = false },
+			"up":      func(*rapid.T) { fleet.platformUp = true },
 			"restart": func(t *rapid.T) {
 				for _, node := range fleet.nodes {
 					if !node.Ready() {
@@ -74,7 +75,7 @@
 				}
 			},
 		})
-		fleet.platform, fleet.loss, fleet.shown = true, 0, len(fleet.patches)
+		fleet.platformUp, fleet.loss, fleet.visiblePatches = true, 0, len(fleet.patches)
 		fleet.run(10*time.Second, 50*time.Millisecond)
 		for vm, node := range fleet.nodes {
 			if node.Config().Number != berylspoke.EntryNumber(len(fleet.patches)) || !node.Ready() {
@@ -84,9 +85,9 @@
 	})
 }
 
-// A change is in force everywhere within five seconds of its publication,
-// though each failure domain has a daemon or two that watch and any of them may
-// have just died.
+// Only one or two daemons in each failure domain watch the platform, and one of them may
+// have just died. Guards against a published change that takes longer than five seconds
+// to be in force on every daemon.
 func TestChangeIsInForceWithinSeconds(t *testing.T) {
 	for seed := range uint64(40) {
 		fleet := configFleet(seed)
@@ -99,22 +100,22 @@
 	}
 }
 
-// A VM restarts while it is cut off from all its peers and the platform shows an
-// old history. It must not serve what it finds there, or a revoked key would
-// work again; it serves once a peer has answered.
+// A VM restarts while it is partitioned from all its peers and the platform shows a stale
+// history. If it served that configuration, a revoked key would work again. It must serve
+// only after a peer has answered.
 func TestCutOffRestartDoesNotServe(t *testing.T) {
 	fleet := configFleet(1)
 	fleet.publishWeight(5)
 	fleet.run(3*time.Second, 20*time.Millisecond)
-	lonely := fleet.vms[3]
-	fleet.crash(lonely.ID)
-	fleet.cut = func(from, to berylspoke.VMID) bool { return from == lonely.ID || to == lonely.ID }
-	fleet.shown = 1
-	fleet.start(lonely)
+	isolated := fleet.vms[3]
+	fleet.crash(isolated.ID)
+	fleet.cut = func(from, to berylspoke.VMID) bool { return from == isolated.ID || to == isolated.ID }
+	fleet.visiblePatches = 1
+	fleet.start(isolated)
 	fleet.run(30*time.Second, 20*time.Millisecond)
-	require.False(t, fleet.nodes[lonely.ID].Ready())
+	require.False(t, fleet.nodes[isolated.ID].Ready())
 	fleet.cut = func(berylspoke.VMID, berylspoke.VMID) bool { return false }
 	fleet.run(8*time.Second, 20*time.Millisecond)
-	require.True(t, fleet.nodes[lonely.ID].Ready())
-	require.EqualValues(t, 2, fleet.nodes[lonely.ID].Config().Version)
+	require.True(t, fleet.nodes[isolated.ID].Ready())
+	require.EqualValues(t, 2, fleet.nodes[isolated.ID].Config().Version)
 }
--- a/core/berylnode/dump.go
+++ b/core/berylnode/dump.go
@@ -1,6 +1,6 @@
 package berylnode
 
-// This file defines the dump of a node's state.
+// This file defines the dump of a node's state for operators.
 
 import (
 	"sort"
@@ -12,67 +12,67 @@
 	"berylspoke/core/berylslot"
 )
 
-// Outcomes returns what became of the last patches.
+// Outcomes returns the outcomes of the latest patches, oldest first.
 func (node *Node) Outcomes() []berylconfig.Outcome { return node.store.Outcomes() }
 
-// MemberState is one daemon as this one knows it.
+// MemberState is the state of a daemon as this one knows it.
 type MemberState struct {
-	VM          berylspoke.VMID          `json:"vm"`
-	Domain      berylspoke.FailureDomain `json:"failureDomain"`
-	Incarnation string                   `json:"incarnation"`
-	Status      string                   `json:"status"`
-	Leaving     bool                     `json:"leaving"`
-	Number      berylspoke.EntryNumber   `json:"number"`
+	VM            berylspoke.VMID          `json:"vm"`
+	FailureDomain berylspoke.FailureDomain `json:"failureDomain"`
+	Incarnation   string                   `json:"incarnation"`
+	Status        string                   `json:"status"`
+	Leaving       bool                     `json:"leaving"`
+	Number        berylspoke.EntryNumber   `json:"number"`
 }
 
-// ServiceState is one service at this daemon.
+// ServiceState is the state of a service at this daemon.
 type ServiceState struct {
-	Service    berylspoke.ServiceID                    `json:"service"`
-	Waiting    int                                     `json:"waiting"`
-	Backlogged int                                     `json:"backlogged"`
-	Time       berylspoke.Tag                          `json:"virtualTime"`
-	Shares     []berylshare.OrganisationState          `json:"organisations"`
-	Uses       berylslot.Uses                          `json:"slotUses"`
-	Held       []berylslot.HeldSlot                    `json:"held"`
-	Kept       []berylslot.Slot                        `json:"kept"`
-	Keepers    map[berylspoke.TargetID]berylspoke.VMID `json:"keepers"`
+	Service       berylspoke.ServiceID                    `json:"service"`
+	Waiting       int                                     `json:"waiting"`
+	Backlogged    int                                     `json:"backlogged"`
+	VirtualTime   berylspoke.Tag                          `json:"virtualTime"`
+	Organisations []berylshare.OrganisationState          `json:"organisations"`
+	SlotUses      berylslot.Uses                          `json:"slotUses"`
+	Held          []berylslot.HeldSlot                    `json:"held"`
+	LeasedTargets []berylslot.Slot                        `json:"kept"`
+	Lessors       map[berylspoke.TargetID]berylspoke.VMID `json:"keepers"`
 }
 
-// State is the dump of a node.
+// State is the state of a node as the dump shows it.
 type State struct {
-	VM        berylspoke.VMID          `json:"vm"`
-	Process   string                   `json:"incarnation"`
-	Time      time.Time                `json:"time"`
-	Ready     bool                     `json:"ready"`
-	Draining  bool                     `json:"draining"`
-	Number    berylspoke.EntryNumber   `json:"number"`
-	Version   berylspoke.ConfigVersion `json:"version"`
-	Hash      string                   `json:"hash"`
-	Conflicts int                      `json:"conflicts"`
-	Outcomes  []berylconfig.Outcome    `json:"outcomes"`
-	Members   []MemberState            `json:"members"`
-	Services  []ServiceState           `json:"services"`
-	Ledger    int                      `json:"ledgerOrganisations"`
-	Records   int                      `json:"ownerRecords"`
-	Witnessed int                      `json:"witnessedIds"`
-	Waiting   int                      `json:"waiting"`
-	Running   int                      `json:"running"`
+	VM                  berylspoke.VMID          `json:"vm"`
+	Incarnation         string                   `json:"incarnation"`
+	Time                time.Time                `json:"time"`
+	Ready               bool                     `json:"ready"`
+	Draining            bool                     `json:"draining"`
+	Number              berylspoke.EntryNumber   `json:"number"`
+	Version             berylspoke.ConfigVersion `json:"version"`
+	Hash                string                   `json:"hash"`
+	Conflicts           int                      `json:"conflicts"`
+	Outcomes            []berylconfig.Outcome    `json:"outcomes"`
+	Members             []MemberState            `json:"members"`
+	Services            []ServiceState           `json:"services"`
+	LedgerOrganisations int                      `json:"ledgerOrganisations"`
+	OwnerRecords        int                      `json:"ownerRecords"`
+	WitnessedIDs        int                      `json:"witnessedIds"`
+	Waiting             int                      `json:"waiting"`
+	Running             int                      `json:"running"`
 }
 
-// State returns the dump of the node.
+// State returns the state of the node for the dump.
 func (node *Node) State(now time.Time) State {
 	state := node.store.State()
 	dump := State{
-		VM: node.self.VM, Process: node.self.Incarnation.String(), Time: now,
+		VM: node.self.VM, Incarnation: node.self.Incarnation.String(), Time: now,
 		Ready: node.Ready(), Draining: node.Draining(),
 		Number: state.Number, Version: state.Version, Hash: state.Hash.Short(),
 		Conflicts: node.store.Conflicts, Outcomes: node.store.Outcomes(),
-		Ledger: node.ledger.Len(), Records: node.owner.Len(), Witnessed: node.witness.Len(),
+		LedgerOrganisations: node.ledger.Len(), OwnerRecords: node.owner.Len(), WitnessedIDs: node.witness.Len(),
 		Waiting: len(node.waiting), Running: len(node.running),
 	}
 	for _, member := range node.table.All() {
 		dump.Members = append(dump.Members, MemberState{
-			VM: member.VM.ID, Domain: member.VM.FailureDomain,
+			VM: member.VM.ID, FailureDomain: member.VM.FailureDomain,
 			Incarnation: member.Rumour.Process.Incarnation.String(),
 			Status:      member.Rumour.Status.String(), Leaving: member.Rumour.Leaving || member.VM.Leaving,
 			Number: member.Number,
@@ -88,11 +88,11 @@
 func (node *Node) serviceState(service *service) ServiceState {
 	state := ServiceState{
 		Service: service.id, Waiting: service.queue.Waiting(), Backlogged: service.queue.Backlogged(),
-		Time: service.queue.VirtualTime(), Shares: service.queue.Organisations(), Held: service.holder.Held(), Uses: service.holder.Uses(),
-		Keepers: service.keepers.Of,
+		VirtualTime: service.queue.VirtualTime(), Organisations: service.queue.Organisations(), Held: service.holder.Held(), SlotUses: service.holder.Uses(),
+		Lessors: service.lessors.Of,
 	}
-	if service.keeper != nil {
-		state.Kept = service.keeper.Slots()
+	if service.lessor != nil {
+		state.LeasedTargets = service.lessor.Slots()
 	}
 	return state
 }
--- a/core/berylnode/effects.go
+++ b/core/berylnode/effects.go
@@ -1,6 +1,6 @@
 package berylnode
 
-// This file defines the inputs and effects of a node.
+// This file defines the requests, effects and options of a node.
 
 import (
 	"time"
@@ -11,52 +11,52 @@
 	"berylspoke/core/berylticket"
 )
 
-// Request is one attempt of a caller's request at this entry.
+// Request is one attempt of a caller's request at this entry daemon.
 type Request struct {
 	Service berylspoke.ServiceID
 	berylshare.Waiting
-	// Call is the id of a non-idempotent request, nil for any other.
+	// Call is the ID of a non-idempotent request, nil for an idempotent one.
 	Call *berylticket.CallID
 }
 
-// Send is a message for another daemon.
+// Send tells io to send a message to another daemon.
 type Send struct {
 	To      berylspoke.VMID
 	Message berylspoke.Message
 }
 
-// Start tells io to send a request to a target now.
+// Start tells io to send a request to a target.
 type Start struct {
 	Request berylspoke.RequestID
 	Target  berylspoke.TargetID
 }
 
-// Refuse tells io the final error of a request.
+// Refuse tells io that a request ended with a refusal.
 type Refuse struct {
 	Request berylspoke.RequestID
 	Refusal *berylspoke.Refusal
 }
 
-// Settled tells io what became of an id it asked about.
+// Settled tells io the outcome of an ID that it asked about with Settle.
 type Settled struct {
 	Token    uint64
 	Standing berylticket.Standing
 }
 
-// Order tells io to give an engine an order.
+// Order tells io to send an order to an engine.
 type Order struct {
 	Target berylspoke.TargetID
 	Order  berylspoke.Order
 }
 
-// Effects is what io carries out after an input.
+// Effects are the actions that io carries out after an input.
 type Effects struct {
 	Sends    []Send
 	Starts   []Start
 	Refusals []Refuse
 	Settled  []Settled
 	Orders   []Order
-	// Reconfigured is set when patches were folded, accepted or not.
+	// Reconfigured is set if patches were applied, whether accepted or rejected.
 	Reconfigured bool
 }
 
@@ -67,31 +67,34 @@
 	Policy      berylshare.Policy
 	Queue       berylshare.Options
 	Keeper      berylslot.KeeperOptions
-	// Quantum is the charge after which an organisation is reported.
+	// Quantum is the change in an organisation's charge that makes a report to its
+	// ledger due.
 	Quantum berylspoke.Tokens
-	// ReportEvery is the shortest time between two reports to one ledger.
+	// ReportEvery is the minimum time between two reports to one ledger.
 	ReportEvery time.Duration
-	// CrossAfter is the time a queue must not have been empty before a request
-	// may go to another region.
+	// CrossAfter is how long a queue must have been backlogged before a request may go
+	// to another region.
 	CrossAfter time.Duration
-	// CrossMargin is how much lower its tag must be than those that wait there.
+	// CrossMargin is how much lower the tag of such a request must be than the tags of
+	// the requests that wait there.
 	CrossMargin berylspoke.Tag
-	// CrossBytes is the budget of bytes a second between regions.
+	// CrossBytes is the budget for traffic between regions, in bytes per second.
 	CrossBytes float64
-	// KeepersAsked bounds the keepers of one service an entry deals with.
-	KeepersAsked int
+	// MaxLessors bounds the lessors of its own region that an entry daemon requests slots
+	// from, for each service.
+	MaxLessors int
 	// PermitTimeout is the time an owner waits for its witness.
 	PermitTimeout time.Duration
-	// SettleTimeout is the time a settler waits for the owner, then for the
-	// witness.
+	// SettleTimeout is the time that a settling daemon waits for the owner and then for
+	// the witness.
 	SettleTimeout time.Duration
-	// Records bounds the ids kept as owner and, for each owner, as witness.
-	Records int
-	// Retries is the number of retries earned by each request.
-	Retries float64
+	// MaxRecords bounds the IDs remembered as owner and, for each owner, as witness.
+	MaxRecords int
+	// RetriesPerRequest is the number of retries that each request adds to the budget.
+	RetriesPerRequest float64
 }
 
-// DefaultOptions returns the options of the product but for the VM.
+// DefaultOptions returns the default options. VM and Incarnation are left unset.
 func DefaultOptions() Options {
 	return Options{
 		Policy: berylshare.FleetFair,
@@ -101,16 +104,16 @@
 			MaxWaiting:         20_000,
 			MaxPerOrganisation: 2_000,
 		},
-		Keeper:        berylslot.DefaultKeeperOptions(),
-		Quantum:       100,
-		ReportEvery:   time.Second,
-		CrossAfter:    300 * time.Millisecond,
-		CrossMargin:   300 * berylspoke.TagScale,
-		CrossBytes:    400_000,
-		KeepersAsked:  8,
-		PermitTimeout: time.Second,
-		SettleTimeout: time.Second,
-		Records:       32_768,
-		Retries:       0.1,
+		Keeper:            berylslot.DefaultKeeperOptions(),
+		Quantum:           100,
+		ReportEvery:       time.Second,
+		CrossAfter:        300 * time.Millisecond,
+		CrossMargin:       300 * berylspoke.TagScale,
+		CrossBytes:        400_000,
+		MaxLessors:        8,
+		PermitTimeout:     time.Second,
+		SettleTimeout:     time.Second,
+		MaxRecords:        32_768,
+		RetriesPerRequest: 0.1,
 	}
 }
--- a/core/berylnode/fleet_test.go
+++ b/core/berylnode/fleet_test.go
@@ -1,7 +1,7 @@
 package berylnode
 
-// This file defines a small fake of the network, the targets and the platform
-// around nodes, for tests of how nodes act together.
+// This file defines fakes of the network, the targets and the platform, for tests of how
+// nodes interact.
 
 import (
 	"encoding/json"
@@ -28,39 +28,39 @@
 	id       berylspoke.RequestID
 	target   berylspoke.TargetID
 	call     *berylticket.CallID
-	total    berylspoke.Tokens
+	cost     berylspoke.Tokens
 	received berylspoke.Tokens
 	org      berylspoke.OrganisationID
-	carry    float64
+	fraction float64
 }
 
-// fakeFleet runs nodes on simulated time.
+// fakeFleet runs nodes in simulated time.
 type fakeFleet struct {
-	now      time.Time
-	random   *rand.Rand
-	options  func(vm berylspoke.VM, incarnation berylspoke.Incarnation) Options
-	vms      []berylspoke.VM
-	nodes    map[berylspoke.VMID]*Node
-	frozen   map[berylspoke.VMID]bool
-	cut      func(from, to berylspoke.VMID) bool
-	loss     float64
-	repeat   float64
-	delay    time.Duration
-	bag      []envelope
-	patches  []berylspoke.Published
-	shown    int
-	platform bool
-	started  int
-	packets  int
-	// slots is the batch of each fake engine, rate its tokens a second for each
-	// request, costs the tokens of each request.
+	now            time.Time
+	random         *rand.Rand
+	options        func(vm berylspoke.VM, incarnation berylspoke.Incarnation) Options
+	vms            []berylspoke.VM
+	nodes          map[berylspoke.VMID]*Node
+	frozen         map[berylspoke.VMID]bool
+	cut            func(from, to berylspoke.VMID) bool
+	loss           float64
+	duplication    float64
+	delay          time.Duration
+	inFlight       []envelope
+	patches        []berylspoke.Published
+	visiblePatches int
+	platformUp     bool
+	starts         int
+	packets        int
+	// slots is the batch size of each fake engine, rate the tokens per second that an
+	// engine generates for each request, and costs the tokens of each request.
 	slots   map[berylspoke.TargetID]int
 	rate    float64
 	costs   map[berylspoke.RequestID]berylspoke.Tokens
 	jobs    []*job
 	queued  map[berylspoke.TargetID][]*job
 	service map[berylspoke.OrganisationID]berylspoke.Tokens
-	// capacity and used sum slot time while work waited.
+	// capacity and used sum the slot-seconds available and used while requests waited.
 	capacity, used float64
 	executions     map[berylticket.CallID]int
 	refused        map[berylspoke.RequestID]*berylspoke.Refusal
@@ -74,7 +74,7 @@
 		now: time.Unix(1_000_000, 0), random: rand.New(rand.NewPCG(seed, 7)), vms: vms,
 		nodes: make(map[berylspoke.VMID]*Node), frozen: make(map[berylspoke.VMID]bool),
 		cut:   func(berylspoke.VMID, berylspoke.VMID) bool { return false },
-		delay: 2 * time.Millisecond, platform: true, rate: 40,
+		delay: 2 * time.Millisecond, platformUp: true, rate: 40,
 		slots: make(map[berylspoke.TargetID]int), costs: make(map[berylspoke.RequestID]berylspoke.Tokens),
 		queued:     make(map[berylspoke.TargetID][]*job),
 		service:    make(map[berylspoke.OrganisationID]berylspoke.Tokens),
@@ -103,16 +103,16 @@
 func (fleet *fakeFleet) publishBody(body []byte) {
 	number := berylspoke.EntryNumber(len(fleet.patches) + 1)
 	fleet.patches = append(fleet.patches, berylspoke.Published{Number: number, Body: body})
-	fleet.shown = len(fleet.patches)
+	fleet.visiblePatches = len(fleet.patches)
 }
 
 func (fleet *fakeFleet) start(vm berylspoke.VM) { fleet.startAt(vm, fleet.now) }
 
-// startAt starts a node whose VM's clock shows a time.
+// startAt starts a node on a VM whose clock shows the given time.
 func (fleet *fakeFleet) startAt(vm berylspoke.VM, clock time.Time) {
-	fleet.started++
-	incarnation := berylspoke.NewIncarnation(clock.UnixMilli(), uint64(fleet.started))
-	fleet.nodes[vm.ID] = New(fleet.now, fleet.options(vm, incarnation), uint64(fleet.started))
+	fleet.starts++
+	incarnation := berylspoke.NewIncarnation(clock.UnixMilli(), uint64(fleet.starts))
+	fleet.nodes[vm.ID] = New(fleet.now, fleet.options(vm, incarnation), uint64(fleet.starts))
 	fleet.nodes[vm.ID].SetVMs(fleet.now, fleet.vms)
 }
 
@@ -122,7 +122,7 @@
 	}
 }
 
-// crash removes a node; its requests at targets end, as their connections do.
+// crash removes a node. Its requests at targets end, as their connections close.
 func (fleet *fakeFleet) crash(vm berylspoke.VMID) {
 	delete(fleet.nodes, vm)
 	kept := fleet.jobs[:0]
@@ -134,25 +134,25 @@
 	fleet.jobs = kept
 }
 
-// step advances time by one tick of every running node.
+// step advances the time by interval and ticks every running node.
 func (fleet *fakeFleet) step(interval time.Duration) {
 	fleet.now = fleet.now.Add(interval)
 	fleet.deliver()
-	fleet.work(interval)
+	fleet.runJobs(interval)
 	for _, vm := range fleet.vms {
 		node := fleet.nodes[vm.ID]
 		if node == nil || fleet.frozen[vm.ID] {
 			continue
 		}
-		if fleet.platform && node.Watches(fleet.now) && fleet.random.IntN(10) == 0 {
+		if fleet.platformUp && node.Watches(fleet.now) && fleet.random.IntN(10) == 0 {
 			after := int(node.Config().Number)
-			if after < fleet.shown {
-				node.AddPatches(fleet.now, fleet.patches[after:fleet.shown])
+			if after < fleet.visiblePatches {
+				node.AddPatches(fleet.now, fleet.patches[after:fleet.visiblePatches])
 			}
 		}
 		node.Tick(fleet.now)
 		node.Flush(fleet.now)
-		fleet.carryOut(vm.ID, node)
+		fleet.applyEffects(vm.ID, node)
 	}
 }
 
@@ -164,39 +164,39 @@
 
 func (fleet *fakeFleet) deliver() {
 	var later []envelope
-	due := fleet.bag
-	fleet.bag = nil
+	due := fleet.inFlight
+	fleet.inFlight = nil
 	for _, item := range due {
 		node := fleet.nodes[item.to]
 		switch {
 		case item.due.After(fleet.now):
 			later = append(later, item)
 		case fleet.frozen[item.to]:
-			// A frozen process finds what arrived when it wakes up.
+			// A frozen process receives its messages when it resumes.
 			later = append(later, item)
 		case node != nil:
 			node.Deliver(fleet.now, item.from, item.message)
 			node.Flush(fleet.now)
-			fleet.carryOut(item.to, node)
+			fleet.applyEffects(item.to, node)
 		}
 	}
-	fleet.bag = append(later, fleet.bag...)
+	fleet.inFlight = append(later, fleet.inFlight...)
 }
 
-func (fleet *fakeFleet) carryOut(vm berylspoke.VMID, node *Node) {
+func (fleet *fakeFleet) applyEffects(vm berylspoke.VMID, node *Node) {
 	effects := node.Take()
 	peers := make(map[berylspoke.VMID]bool)
 	for _, send := range effects.Sends {
-		fleet.post(vm, send)
+		fleet.transmit(vm, send)
 		peers[send.To] = true
 	}
 	fleet.packets += len(peers)
 	for _, start := range effects.Starts {
 		job := &job{
 			vm: vm, process: node.Self(), id: start.Request, target: start.Target,
-			call: fleet.callOf[start.Request], total: fleet.costs[start.Request], org: fleet.orgOf[start.Request],
+			call: fleet.callOf[start.Request], cost: fleet.costs[start.Request], org: fleet.orgOf[start.Request],
 		}
-		fleet.begin(job)
+		fleet.startJob(job)
 	}
 	for _, refuse := range effects.Refusals {
 		fleet.refused[refuse.Request] = refuse.Refusal
@@ -206,21 +206,21 @@
 	}
 }
 
-func (fleet *fakeFleet) post(from berylspoke.VMID, send Send) {
+func (fleet *fakeFleet) transmit(from berylspoke.VMID, send Send) {
 	if fleet.cut(from, send.To) || fleet.random.Float64() < fleet.loss {
 		return
 	}
 	copies := 1
-	if fleet.random.Float64() < fleet.repeat {
+	if fleet.random.Float64() < fleet.duplication {
 		copies = 2
 	}
 	for range copies {
 		jitter := time.Duration(fleet.random.Int64N(int64(fleet.delay)))
-		fleet.bag = append(fleet.bag, envelope{from, send.To, send.Message, fleet.now.Add(fleet.delay/2 + jitter)})
+		fleet.inFlight = append(fleet.inFlight, envelope{from, send.To, send.Message, fleet.now.Add(fleet.delay/2 + jitter)})
 	}
 }
 
-func (fleet *fakeFleet) begin(job *job) {
+func (fleet *fakeFleet) startJob(job *job) {
 	if job.call != nil {
 		fleet.executions[*job.call]++
 	}
@@ -241,7 +241,7 @@
 	return count
 }
 
-// waiting says whether any node has a request waiting.
+// waiting reports whether any node has a request waiting.
 func (fleet *fakeFleet) waiting() bool {
 	for _, node := range fleet.nodes {
 		if len(node.waiting) > 0 {
@@ -251,8 +251,8 @@
 	return false
 }
 
-// work generates tokens at the targets.
-func (fleet *fakeFleet) work(interval time.Duration) {
+// runJobs generates tokens at the targets.
+func (fleet *fakeFleet) runJobs(interval time.Duration) {
 	if fleet.waiting() {
 		for _, slots := range fleet.slots {
 			fleet.capacity += float64(slots) * interval.Seconds()
@@ -263,12 +263,12 @@
 	fleet.jobs = nil
 	var ended []*job
 	for _, job := range jobs {
-		job.carry += fleet.rate * interval.Seconds()
-		count := min(berylspoke.Tokens(job.carry), job.total-job.received)
-		job.carry -= float64(count)
+		job.fraction += fleet.rate * interval.Seconds()
+		count := min(berylspoke.Tokens(job.fraction), job.cost-job.received)
+		job.fraction -= float64(count)
 		job.received += count
 		fleet.service[job.org] += count
-		if job.received >= job.total {
+		if job.received >= job.cost {
 			ended = append(ended, job)
 			continue
 		}
@@ -277,11 +277,11 @@
 			node.Progress(job.id, job.received, time.Duration(float64(time.Second)/fleet.rate))
 		}
 	}
-	fleet.finish(ended)
-	fleet.report()
+	fleet.finishJobs(ended)
+	fleet.reportLoads()
 }
 
-func (fleet *fakeFleet) finish(ended []*job) {
+func (fleet *fakeFleet) finishJobs(ended []*job) {
 	for _, job := range ended {
 		if queue := fleet.queued[job.target]; len(queue) > 0 {
 			fleet.queued[job.target] = queue[1:]
@@ -292,12 +292,12 @@
 			continue
 		}
 		node.Finish(fleet.now, job.id, Outcome{Received: job.received, Verdict: berylspoke.Ran})
-		fleet.carryOut(job.vm, node)
+		fleet.applyEffects(job.vm, node)
 	}
 }
 
-// report tells keepers the load of their targets twice a second.
-func (fleet *fakeFleet) report() {
+// reportLoads reports the load of the targets to their lessors twice per second.
+func (fleet *fakeFleet) reportLoads() {
 	if fleet.now.UnixMilli()%500 != 0 {
 		return
 	}
@@ -313,14 +313,14 @@
 	}
 }
 
-// submit sends a request of the given cost to an entry.
+// submit sends a request of the given cost to an entry daemon.
 func (fleet *fakeFleet) submit(vm berylspoke.VMID, service berylspoke.ServiceID, org berylspoke.OrganisationID, id berylspoke.RequestID, cost berylspoke.Tokens, call *berylticket.CallID) {
 	fleet.costs[id], fleet.orgOf[id], fleet.callOf[id] = cost, org, call
 	node := fleet.nodes[vm]
 	node.Submit(fleet.now, Request{Service: service, Call: call, Waiting: berylshare.Waiting{
 		Request: id, Organisation: org, Arrived: fleet.now, Deadline: fleet.now.Add(time.Hour),
 	}})
-	fleet.carryOut(vm, node)
+	fleet.applyEffects(vm, node)
 }
 
 func fakeVMs(domains ...string) []berylspoke.VM {
@@ -334,8 +334,8 @@
 	return vms
 }
 
-// fakePatch declares regions a and b, a model and a desk service with the given
-// targets, and organisations by weight.
+// fakePatch declares regions a and b, the model service "model" and the plain service
+// "desk" with the given targets, and organisations by weight.
 func fakePatch(targets map[berylspoke.TargetID]berylconfig.Target, weights map[berylspoke.OrganisationID]berylspoke.Weight) *berylconfig.Patch {
 	patch := &berylconfig.Patch{
 		FailureDomains: map[berylspoke.FailureDomain]*berylconfig.Domain{
--- a/core/berylnode/ledgers.go
+++ b/core/berylnode/ledgers.go
@@ -1,6 +1,6 @@
 package berylnode
 
-// This file defines the reports to ledgers and their answers.
+// This file defines the exchange of reports and totals with ledgers.
 
 import (
 	"time"
@@ -11,16 +11,16 @@
 )
 
 const (
-	// reportsPerSecond bounds the report messages of a daemon: with more
-	// ledgers to tell, each is told less often.
+	// reportsPerSecond bounds the report messages of a daemon. With more ledgers to
+	// report to, each gets reports less often.
 	reportsPerSecond = 8
-	// reportsPerMessage keeps a message within one datagram.
+	// reportsPerMessage bounds a message to the size of one datagram.
 	reportsPerMessage = 24
 )
 
-// report tells the ledgers what was charged here. Organisations whose ledger is
-// this daemon cost no message.
-func (node *Node) report(now time.Time) {
+// sendReports reports the charges made here to the ledgers. Organisations whose ledger is
+// this daemon need no message to a peer.
+func (node *Node) sendReports(now time.Time) {
 	type due struct {
 		service      *service
 		organisation berylspoke.OrganisationID
@@ -34,10 +34,10 @@
 	}
 	interval := max(node.options.ReportEvery, time.Duration(len(byLedger))*time.Second/reportsPerSecond)
 	for ledger, dues := range byLedger {
-		if ledger != node.self.VM && now.Sub(node.reported[ledger]) < interval {
+		if ledger != node.self.VM && now.Sub(node.reportedAt[ledger]) < interval {
 			continue
 		}
-		node.reported[ledger] = now
+		node.reportedAt[ledger] = now
 		for len(dues) > 0 {
 			batch := dues[:min(len(dues), reportsPerMessage)]
 			dues = dues[len(batch):]
@@ -45,21 +45,21 @@
 			for _, item := range batch {
 				reports.Reports = append(reports.Reports, item.service.queue.Report(now, item.service.id, item.organisation))
 			}
-			node.later(now, ledger, reports)
+			node.deferSend(now, ledger, reports)
 		}
 	}
 }
 
-// sum merges the reports of an entry and answers it.
-func (node *Node) sum(now time.Time, reports berylshare.Reports) {
+// handleReports merges the reports of an entry daemon and answers with the totals.
+func (node *Node) handleReports(now time.Time, reports berylshare.Reports) {
 	answer := berylshare.Totals{}
 	for _, report := range reports.Reports {
 		answer.Totals = append(answer.Totals, node.ledger.Report(now, reports.From, report))
 	}
-	node.later(now, reports.From.VM, answer)
+	node.deferSend(now, reports.From.VM, answer)
 }
 
-func (node *Node) totals(totals berylshare.Totals) {
+func (node *Node) handleTotals(totals berylshare.Totals) {
 	for _, total := range totals.Totals {
 		if service := node.services[total.Service]; service != nil {
 			service.queue.ApplyTotal(total)
--- a/core/berylnode/main_test.go
+++ b/core/berylnode/main_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestMain draws from a fixed seed, so that the verdict is the same on every
-// run; flags on the command line win.
+// TestMain fixes the seed of the property tests, so that every run has the same result.
+// Command-line flags take precedence.
 func TestMain(tests *testing.M) {
 	_ = flag.Set("rapid.checks", "300")
 	_ = flag.Set("rapid.seed", "1")
--- a/core/berylnode/members_test.go
+++ b/core/berylnode/members_test.go
@@ -10,7 +10,7 @@
 	"berylspoke"
 )
 
-// memberFleet is a fleet of the given size in three failure domains.
+// memberFleet returns a running fleet of count VMs in three failure domains.
 func memberFleet(count int) *fakeFleet {
 	var domains []string
 	for i := range count {
@@ -23,7 +23,7 @@
 	return fleet
 }
 
-// agreed says whether every running node counts the given number live.
+// agreed reports whether every running node considers the given number of VMs live.
 func (fleet *fakeFleet) agreed(live int) bool {
 	for vm, node := range fleet.nodes {
 		if !fleet.frozen[vm] && len(node.table.Live()) != live {
@@ -33,29 +33,29 @@
 	return true
 }
 
-// within runs the fleet until a condition holds and returns the time it took.
-func (fleet *fakeFleet) within(limit time.Duration, holds func() bool) (time.Duration, bool) {
-	for begin := fleet.now; fleet.now.Sub(begin) < limit; fleet.step(50 * time.Millisecond) {
-		if holds() {
-			return fleet.now.Sub(begin), true
+// runUntil runs the fleet until a condition holds and returns the time that took.
+func (fleet *fakeFleet) runUntil(limit time.Duration, condition func() bool) (time.Duration, bool) {
+	for start := fleet.now; fleet.now.Sub(start) < limit; fleet.step(50 * time.Millisecond) {
+		if condition() {
+			return fleet.now.Sub(start), true
 		}
 	}
 	return limit, false
 }
 
-// A VM dies, a whole failure domain is lost, and both come back. All daemons
-// agree within seconds, at eight VMs and at sixty-four.
+// A VM and then a whole failure domain fail and return. Guards against daemons that do not
+// agree on the live VMs within seconds, in fleets of eight and sixty-four VMs.
 func TestLostAndReturnedVMsAreNoticed(t *testing.T) {
 	for _, count := range []int{8, 64} {
 		fleet := memberFleet(count)
 		require.True(t, fleet.agreed(count), "%d VMs at the start", count)
 		fleet.crash(fleet.vms[3].ID)
-		took, ok := fleet.within(8*time.Second, func() bool { return fleet.agreed(count - 1) })
-		require.True(t, ok, "one of %d VMs died", count)
-		t.Logf("%d VMs: a death is known everywhere after %s", count, took)
+		took, ok := fleet.runUntil(8*time.Second, func() bool { return fleet.agreed(count - 1) })
+		require.True(t, ok, "one of %d VMs failed", count)
+		t.Logf("%d VMs: a failure is known everywhere after %s", count, took)
 		fleet.start(fleet.vms[3])
-		_, ok = fleet.within(8*time.Second, func() bool { return fleet.agreed(count) })
-		require.True(t, ok, "one of %d VMs came back", count)
+		_, ok = fleet.runUntil(8*time.Second, func() bool { return fleet.agreed(count) })
+		require.True(t, ok, "one of %d VMs returned", count)
 
 		lost := 0
 		for _, vm := range fleet.vms {
@@ -64,7 +64,7 @@
 				lost++
 			}
 		}
-		took, ok = fleet.within(20*time.Second, func() bool { return fleet.agreed(count - lost) })
+		took, ok = fleet.runUntil(20*time.Second, func() bool { return fleet.agreed(count - lost) })
 		require.True(t, ok, "a failure domain of %d VMs was lost", lost)
 		t.Logf("%d VMs: a lost failure domain of %d is known everywhere after %s", count, lost, took)
 		for _, vm := range fleet.vms {
@@ -72,13 +72,13 @@
 				fleet.start(vm)
 			}
 		}
-		_, ok = fleet.within(20*time.Second, func() bool { return fleet.agreed(count) })
-		require.True(t, ok, "a failure domain of %d VMs came back", lost)
+		_, ok = fleet.runUntil(20*time.Second, func() bool { return fleet.agreed(count) })
+		require.True(t, ok, "a failure domain of %d VMs returned", lost)
 	}
 }
 
-// The regions lose each other for a while. Each goes on by itself, and they find
-// each other again although each believed the other dead.
+// The regions are partitioned for a minute, and each considers the other dead. Guards
+// against regions that do not rejoin after that.
 func TestRegionsRejoin(t *testing.T) {
 	for _, count := range []int{8, 64} {
 		fleet := memberFleet(count)
@@ -87,20 +87,19 @@
 		fleet.run(60*time.Second, 50*time.Millisecond)
 		for vm, node := range fleet.nodes {
 			for _, live := range node.table.Live() {
-				require.Equal(t, region(vm), region(live), "%s believes %s live", vm, live)
+				require.Equal(t, region(vm), region(live), "%s considers %s live", vm, live)
 			}
 		}
 		fleet.cut = func(berylspoke.VMID, berylspoke.VMID) bool { return false }
-		took, ok := fleet.within(30*time.Second, func() bool { return fleet.agreed(count) })
+		took, ok := fleet.runUntil(30*time.Second, func() bool { return fleet.agreed(count) })
 		require.True(t, ok, "%d VMs", count)
-		t.Logf("%d VMs agree %s after the cut was mended", count, took)
+		t.Logf("%d VMs agree %s after the partition healed", count, took)
 	}
 }
 
-// A daemon restarts behind a cut, and the regions rejoin while some daemons still
-// wait before they connect again. The rumours that refute
-// what each side believed are lost with them, and are not told again: a daemon
-// stayed dead in the eyes of a region for good.
+// A daemon restarts during a partition, and the regions rejoin while some daemons still
+// wait before they reconnect. The rumours that refute the deaths are lost on these links
+// and not repeated. Guards against a daemon that a region considers dead for good.
 func TestRegionsRejoinThoughRumoursAreLost(t *testing.T) {
 	for seed := range uint64(60) {
 		fleet := memberFleet(8)
@@ -112,24 +111,24 @@
 		fleet.crash(restarted.ID)
 		fleet.start(restarted)
 		fleet.run(5*time.Second, 50*time.Millisecond)
-		// Each pair finds its connection again at a time of its own.
-		mended := fleet.now
+		// Each pair reconnects after a delay of its own.
+		healed := fleet.now
 		wait := make(map[[2]berylspoke.VMID]time.Duration)
 		fleet.cut = func(from, to berylspoke.VMID) bool {
 			pair := [2]berylspoke.VMID{min(from, to), max(from, to)}
 			if _, drawn := wait[pair]; !drawn {
 				wait[pair] = time.Duration(fleet.random.Int64N(int64(12 * time.Second)))
 			}
-			return region(from) != region(to) && fleet.now.Sub(mended) < wait[pair]
+			return region(from) != region(to) && fleet.now.Sub(healed) < wait[pair]
 		}
-		_, ok := fleet.within(52*time.Second, func() bool { return fleet.agreed(8) })
+		_, ok := fleet.runUntil(52*time.Second, func() bool { return fleet.agreed(8) })
 		require.True(t, ok, "seed %d", seed)
 	}
 }
 
-// A daemon's VM pauses for a minute. When it wakes up, all peers look silent to
-// it although only it was; it must not declare them dead and take over all roles.
-func TestPausedDaemonBlamesNobody(t *testing.T) {
+// A daemon's VM pauses for a minute. When it resumes, all peers seem silent to it although
+// only it was. It must not declare them dead and take over all roles.
+func TestPausedDaemonDeclaresNoPeerDead(t *testing.T) {
 	fleet := memberFleet(8)
 	paused := fleet.vms[2].ID
 	fleet.frozen[paused] = true
@@ -143,8 +142,8 @@
 	require.True(t, fleet.agreed(8))
 }
 
-// One direction of one link is cut. The monitor behind it suspects its peer, the
-// peer hears of it from others and refutes it; nobody loses a role.
+// One direction of one link is cut, so a monitor suspects its peer. The peer learns of
+// this from others and must refute it, so that no daemon loses a role.
 func TestOneWayCutIsRefuted(t *testing.T) {
 	fleet := memberFleet(8)
 	node := fleet.nodes[fleet.vms[0].ID]
@@ -156,18 +155,19 @@
 	}
 }
 
-// Guards against a daemon that nobody believes after the clock of its VM went back
-// between two runs: its heartbeats and its asks count as those of the earlier run.
-func TestDaemonBehindASteppedClockTakesPart(t *testing.T) {
+// Guards against a daemon that its peers ignore after the clock of its VM went back
+// between two runs: its heartbeats and slot requests are taken for those of the earlier
+// run.
+func TestDaemonRejoinsAfterClockStepsBack(t *testing.T) {
 	fleet := memberFleet(8)
 	vm := fleet.vms[3]
 	before := fleet.nodes[vm.ID].Self()
 	fleet.crash(vm.ID)
-	_, ok := fleet.within(8*time.Second, func() bool { return fleet.agreed(7) })
+	_, ok := fleet.runUntil(8*time.Second, func() bool { return fleet.agreed(7) })
 	require.True(t, ok)
 	fleet.startAt(vm, fleet.now.Add(-time.Hour))
-	_, ok = fleet.within(8*time.Second, func() bool { return fleet.agreed(8) && fleet.nodes[vm.ID].Ready() })
-	require.True(t, ok, "it is back")
+	_, ok = fleet.runUntil(8*time.Second, func() bool { return fleet.agreed(8) && fleet.nodes[vm.ID].Ready() })
+	require.True(t, ok, "the restarted daemon rejoined")
 	after := fleet.nodes[vm.ID].Self()
 	require.Greater(t, after.Incarnation, before.Incarnation)
 	for _, node := range fleet.nodes {
--- a/core/berylnode/node.go
+++ b/core/berylnode/node.go
@@ -1,6 +1,6 @@
 package berylnode
 
-// This file defines the node and the flow of its inputs.
+// This file defines the node and how it handles its inputs.
 
 import (
 	"math/rand/v2"
@@ -16,12 +16,13 @@
 )
 
 const (
-	// pauseAfter is the gap between ticks that shows that the process slept.
-	pauseAfter = time.Second
-	// forgetEvery is the time between two sweeps over idle state.
-	forgetEvery = 10 * time.Second
-	// loopRounds bounds the messages a node passes to itself in one flush.
-	loopRounds = 8
+	// pauseThreshold is the gap between ticks above which the process counts as paused.
+	pauseThreshold = time.Second
+	// sweepInterval is the time between two sweeps that drop idle state.
+	sweepInterval = 10 * time.Second
+	// maxFlushRounds bounds the rounds of messages that a node sends to itself in one
+	// flush.
+	maxFlushRounds = 8
 )
 
 // service is the state of one declared service.
@@ -29,97 +30,102 @@
 	id      berylspoke.ServiceID
 	queue   *berylshare.Queue
 	holder  *berylslot.Holder
-	keeper  *berylslot.Keeper
-	keepers *berylroute.Keepers
+	lessor  *berylslot.Keeper
+	lessors *berylroute.Keepers
+	// round selects the last of the lessors to ask, which rotates; rotated is the time of
+	// its last change.
 	round   uint64
-	turned  time.Time
-	// backlogged is the time since when a request has always been waiting.
+	rotated time.Time
+	// backlogged is the time since which the queue has not been empty, zero if it is empty.
 	backlogged time.Time
 }
 
-// running is a request that holds a slot.
-type running struct {
+// activeRequest is a request that holds a slot.
+type activeRequest struct {
 	service *service
 	started *berylshare.StartedRequest
 	place   berylslot.Place
 	call    *berylticket.CallID
 }
 
-// Node is one daemon's state.
+// Node is the state machine of one daemon.
 type Node struct {
-	options  Options
-	self     berylspoke.Process
-	random   *rand.Rand
-	table    *berylmember.Table
-	store    *berylconfig.Store
-	services map[berylspoke.ServiceID]*service
-	running  map[berylspoke.RequestID]*running
-	waiting  map[berylspoke.RequestID]*Request
-	ledger   *berylshare.Ledger
-	owner    *berylticket.Owner
-	witness  *berylticket.Witness
-	health   *berylroute.Health
-	prefixes *berylroute.Prefixes
-	retries  *berylroute.Budget
-	crossing *berylroute.Budget
-	permits  map[berylticket.CallID]*permitWait
-	settles  map[uint64]*settleWait
-	reported map[berylspoke.VMID]time.Time
-	ordered  map[berylspoke.TargetID]orderState
-	start    startup
-	fleet    berylroute.Fleet
-	placed   placedFor
-	weights  float64
-	ticked   time.Time
-	swept    time.Time
-	closed   bool
-	pulledAt time.Time
-	inbox    []berylspoke.Message
-	lazy     map[berylspoke.VMID]*lazy
-	effects  Effects
+	options            Options
+	self               berylspoke.Process
+	random             *rand.Rand
+	table              *berylmember.Table
+	store              *berylconfig.Store
+	services           map[berylspoke.ServiceID]*service
+	running            map[berylspoke.RequestID]*activeRequest
+	waiting            map[berylspoke.RequestID]*Request
+	ledger             *berylshare.Ledger
+	owner              *berylticket.Owner
+	witness            *berylticket.Witness
+	health             *berylroute.Health
+	prefixes           *berylroute.Prefixes
+	retryBudget        *berylroute.Budget
+	crossBudget        *berylroute.Budget
+	pendingPermits     map[berylticket.CallID]*pendingPermit
+	pendingSettlements map[uint64]*pendingSettlement
+	reportedAt         map[berylspoke.VMID]time.Time
+	lastOrders         map[berylspoke.TargetID]orderState
+	startup            startup
+	fleet              berylroute.Fleet
+	placement          placementKey
+	totalWeight        float64
+	lastTick           time.Time
+	lastSweep          time.Time
+	closed             bool
+	pulledAt           time.Time
+	inbox              []berylspoke.Message
+	deferred           map[berylspoke.VMID]*deferredSends
+	effects            Effects
 }
 
-// placedFor names the state that the placement was computed from.
-type placedFor struct {
+// placementKey identifies the inputs that the placement was computed from.
+type placementKey struct {
 	version berylspoke.ConfigVersion
 	live    string
 }
 
-// New returns a node that knows nothing but its own VM.
+// New returns a node that knows only its own VM.
 func New(now time.Time, options Options, seed uint64) *Node {
 	self := berylspoke.Process{VM: options.VM.ID, Incarnation: options.Incarnation}
 	options.Queue.Policy = options.Policy
 	options.Keeper.IgnoreTags = options.Policy != berylshare.FleetFair
 	return &Node{
-		options:  options,
-		self:     self,
-		random:   rand.New(rand.NewPCG(seed, uint64(options.Incarnation))),
-		table:    berylmember.NewTable(now, options.VM, options.Incarnation, berylmember.DefaultOptions()),
-		store:    berylconfig.NewStore(),
-		services: make(map[berylspoke.ServiceID]*service),
-		running:  make(map[berylspoke.RequestID]*running),
-		waiting:  make(map[berylspoke.RequestID]*Request),
-		ledger:   berylshare.NewLedger(),
-		owner:    berylticket.NewOwner(self, options.Records),
-		witness:  berylticket.NewWitness(self, options.Records),
-		health:   berylroute.NewHealth(),
-		prefixes: berylroute.NewPrefixes(),
-		retries:  berylroute.NewBudget(now, 1, retryBurst),
-		crossing: berylroute.NewBudget(now, options.CrossBytes, options.CrossBytes*crossBurst),
-		permits:  make(map[berylticket.CallID]*permitWait),
-		settles:  make(map[uint64]*settleWait),
-		reported: make(map[berylspoke.VMID]time.Time),
-		ordered:  make(map[berylspoke.TargetID]orderState),
-		start:    startup{since: now, asked: make(map[berylspoke.VMID]*startupPeer)},
-		lazy:     make(map[berylspoke.VMID]*lazy),
-		ticked:   now,
-		swept:    now,
+		options:            options,
+		self:               self,
+		random:             rand.New(rand.NewPCG(seed, uint64(options.Incarnation))),
+		table:              berylmember.NewTable(now, options.VM, options.Incarnation, berylmember.DefaultOptions()),
+		store:              berylconfig.NewStore(),
+		services:           make(map[berylspoke.ServiceID]*service),
+		running:            make(map[berylspoke.RequestID]*activeRequest),
+		waiting:            make(map[berylspoke.RequestID]*Request),
+		ledger:             berylshare.NewLedger(),
+		owner:              berylticket.NewOwner(self, options.MaxRecords),
+		witness:            berylticket.NewWitness(self, options.MaxRecords),
+		health:             berylroute.NewHealth(),
+		prefixes:           berylroute.NewPrefixes(),
+		retryBudget:        berylroute.NewBudget(now, 1, retryBurst),
+		crossBudget:        berylroute.NewBudget(now, options.CrossBytes, options.CrossBytes*crossBurstSeconds),
+		pendingPermits:     make(map[berylticket.CallID]*pendingPermit),
+		pendingSettlements: make(map[uint64]*pendingSettlement),
+		reportedAt:         make(map[berylspoke.VMID]time.Time),
+		lastOrders:         make(map[berylspoke.TargetID]orderState),
+		startup:            startup{since: now, peers: make(map[berylspoke.VMID]*startupPeer)},
+		deferred:           make(map[berylspoke.VMID]*deferredSends),
+		lastTick:           now,
+		lastSweep:          now,
 	}
 }
 
 const (
+	// retryBurst is the capacity of the retry budget, in retries.
 	retryBurst = 20
-	crossBurst = 2
+	// crossBurstSeconds is the capacity of the budget for traffic between regions, in
+	// seconds of its rate.
+	crossBurstSeconds = 2
 )
 
 // Self returns this node's process.
@@ -131,56 +137,56 @@
 // Config returns the configuration state in force.
 func (node *Node) Config() *berylconfig.State { return node.store.State() }
 
-// Member returns what is known of a VM, or nil.
+// Member returns the membership state of a VM, or nil if it is unknown.
 func (node *Node) Member(vm berylspoke.VMID) *berylmember.Member { return node.table.Member(vm) }
 
-// Owner returns the tickets and records of this node.
+// Owner returns the owner role of this node, which holds its tickets and records.
 func (node *Node) Owner() *berylticket.Owner { return node.owner }
 
-// Drain announces that this daemon takes no new roles and no new requests.
+// Drain announces to the fleet that this daemon is leaving and takes no new roles.
 func (node *Node) Drain(now time.Time) { node.table.Leave(now) }
 
-// Draining says whether the daemon is leaving.
+// Draining reports whether the daemon is leaving.
 func (node *Node) Draining() bool { return node.table.Member(node.self.VM).Rumour.Leaving }
 
-// Close refuses new requests from now on; those here go on to their end.
+// Close makes the node refuse new requests; waiting and running requests continue.
 func (node *Node) Close() { node.closed = true }
 
-// Busy returns the number of requests that wait or run here.
+// Busy returns the number of waiting and running requests.
 func (node *Node) Busy() int { return len(node.waiting) + len(node.running) }
 
-// SetVMs takes the platform's list of VMs.
+// SetVMs applies the platform's list of VMs.
 func (node *Node) SetVMs(now time.Time, vms []berylspoke.VM) {
 	node.table.SetListed(now, vms)
-	node.start.listed = true
-	node.place(now)
+	node.startup.listed = true
+	node.updatePlacement(now)
 }
 
-// Tick advances everything that depends on time.
+// Tick advances all state that depends on time.
 func (node *Node) Tick(now time.Time) {
-	if now.Sub(node.ticked) > pauseAfter {
-		// The process was stopped or its VM froze. Every peer looks silent now
-		// although only this daemon was; without this it would declare the
-		// whole fleet dead and take over all its roles.
+	if now.Sub(node.lastTick) > pauseThreshold {
+		// The process or its VM was paused, so every peer seems silent although only
+		// this daemon was. Without this call it would declare the whole fleet dead
+		// and take over all its roles.
 		node.table.Resume(now)
 	}
-	node.ticked = now
+	node.lastTick = now
 	node.heartbeat(now)
-	node.place(now)
+	node.updatePlacement(now)
 	node.tickStartup(now)
 	node.tickPermits(now)
-	node.tickSettles(now)
+	node.tickSettlements(now)
 	for _, service := range node.services {
 		node.expire(now, service)
 	}
-	node.report(now)
-	if now.Sub(node.swept) > forgetEvery {
+	node.sendReports(now)
+	if now.Sub(node.lastSweep) > sweepInterval {
 		node.sweep(now)
 	}
 }
 
 func (node *Node) sweep(now time.Time) {
-	node.swept = now
+	node.lastSweep = now
 	node.ledger.Forget(now)
 	for _, service := range node.services {
 		service.queue.Forget(now)
@@ -192,7 +198,7 @@
 		beat := due.Beat
 		beat.Number, beat.Serving = node.store.State().Number, node.Ready()
 		for _, to := range due.To {
-			node.sendOr(now, to, beat, len(beat.Rumours) > 0)
+			node.sendOrDefer(now, to, beat, len(beat.Rumours) > 0)
 		}
 	}
 }
@@ -207,58 +213,60 @@
 	}
 }
 
-// laterAfter is how long a message that is not urgent waits for another one to
-// the same peer, whose packet it then shares.
-const laterAfter = 400 * time.Millisecond
+// maxDeferral is how long a message that is not urgent waits for another message to the
+// same peer to share a packet with.
+const maxDeferral = 400 * time.Millisecond
 
-// lazy are messages to one peer that wait for company.
-type lazy struct {
+// deferredSends are messages to one peer that wait to share a packet.
+type deferredSends struct {
 	messages []berylspoke.Message
 	since    time.Time
 }
 
-// later sends a message with the next one to the same peer, or after a while.
-// A packet costs more in headers and acknowledgements than most messages.
-func (node *Node) later(now time.Time, to berylspoke.VMID, message berylspoke.Message) {
+// deferSend sends a message together with the next one to the same peer, or alone after
+// maxDeferral. The headers and acknowledgements of a packet cost more than most messages.
+func (node *Node) deferSend(now time.Time, to berylspoke.VMID, message berylspoke.Message) {
 	if to == "" || to == node.self.VM {
 		node.send(to, message)
 		return
 	}
-	waiting := node.lazy[to]
+	waiting := node.deferred[to]
 	if waiting == nil {
-		waiting = &lazy{since: now}
-		node.lazy[to] = waiting
+		waiting = &deferredSends{since: now}
+		node.deferred[to] = waiting
 	}
 	waiting.messages = append(waiting.messages, message)
 }
 
-// sendLazy adds the lazy messages that found company or waited long enough.
-func (node *Node) sendLazy(now time.Time) {
-	if len(node.lazy) == 0 {
+// flushDeferred sends the deferred messages of peers that get another message now, and
+// those that were deferred for maxDeferral.
+func (node *Node) flushDeferred(now time.Time) {
+	if len(node.deferred) == 0 {
 		return
 	}
 	for _, send := range node.effects.Sends {
-		node.release(send.To)
+		node.flushDeferredTo(send.To)
 	}
-	for to, waiting := range node.lazy {
-		if now.Sub(waiting.since) >= laterAfter {
-			node.release(to)
+	for to, waiting := range node.deferred {
+		if now.Sub(waiting.since) >= maxDeferral {
+			node.flushDeferredTo(to)
 		}
 	}
 }
 
-func (node *Node) release(to berylspoke.VMID) {
-	if waiting := node.lazy[to]; waiting != nil {
-		delete(node.lazy, to)
+func (node *Node) flushDeferredTo(to berylspoke.VMID) {
+	if waiting := node.deferred[to]; waiting != nil {
+		delete(node.deferred, to)
 		for _, message := range waiting.messages {
 			node.send(to, message)
 		}
 	}
 }
 
-// Flush does the work worth coalescing; its effects join those of the inputs.
+// Flush does the work that is worth coalescing. Its effects are added to those of the
+// inputs.
 func (node *Node) Flush(now time.Time) {
-	for range loopRounds {
+	for range maxFlushRounds {
 		for _, service := range node.services {
 			node.flushService(now, service)
 		}
@@ -271,10 +279,10 @@
 			node.Deliver(now, node.self.VM, message)
 		}
 	}
-	node.sendLazy(now)
+	node.flushDeferred(now)
 }
 
-// Take returns the effects since the last call.
+// Take returns and clears the effects accumulated since the last call.
 func (node *Node) Take() Effects {
 	effects := node.effects
 	node.effects = Effects{}
@@ -282,9 +290,9 @@
 }
 
 func (node *Node) flushService(now time.Time, service *service) {
-	if service.keeper != nil {
-		for _, lease := range service.keeper.Assign(now) {
-			node.sendOr(now, lease.To, lease.Lease, lease.Urgent)
+	if service.lessor != nil {
+		for _, lease := range service.lessor.Assign(now) {
+			node.sendOrDefer(now, lease.To, lease.Lease, lease.Urgent)
 		}
 	}
 	node.dispatch(now, service)
@@ -297,45 +305,45 @@
 		Tags:    service.queue.Tags(berylslot.AskTags, node.options.Keeper.Slack),
 		Time:    service.queue.VirtualTime(),
 	}
-	for _, ask := range service.holder.Asks(now, node.askable(now, service), need) {
-		node.sendOr(now, ask.To, ask.Ask, ask.Urgent)
+	for _, ask := range service.holder.Asks(now, node.lessorsToAsk(now, service), need) {
+		node.sendOrDefer(now, ask.To, ask.Ask, ask.Urgent)
 	}
 }
 
-// sendOr sends an urgent message at once and any other one later.
-func (node *Node) sendOr(now time.Time, to berylspoke.VMID, message berylspoke.Message, urgent bool) {
+// sendOrDefer sends an urgent message at once and defers any other.
+func (node *Node) sendOrDefer(now time.Time, to berylspoke.VMID, message berylspoke.Message, urgent bool) {
 	if urgent {
 		node.send(to, message)
 		return
 	}
-	node.later(now, to, message)
+	node.deferSend(now, to, message)
 }
 
-// Deliver takes a message of a peer.
+// Deliver handles a message from a peer.
 func (node *Node) Deliver(now time.Time, from berylspoke.VMID, message berylspoke.Message) {
 	switch message := message.(type) {
 	case berylmember.Heartbeat:
-		node.heard(now, message)
+		node.handleHeartbeat(now, message)
 	case berylconfig.PullRequest:
-		node.pulled(from, message)
+		node.handlePullRequest(from, message)
 	case berylconfig.PullAnswer:
-		node.pullAnswered(now, from, message)
+		node.handlePullAnswer(now, from, message)
 	case berylslot.Ask:
-		if service := node.services[message.Service]; service != nil && service.keeper != nil {
-			service.keeper.Ask(now, message)
+		if service := node.services[message.Service]; service != nil && service.lessor != nil {
+			service.lessor.Ask(now, message)
 		}
 	case berylslot.Lease:
 		if service := node.services[message.Service]; service != nil {
 			service.holder.Take(message)
 		}
 	case berylshare.Reports:
-		node.sum(now, message)
+		node.handleReports(now, message)
 	case berylshare.Totals:
-		node.totals(message)
+		node.handleTotals(message)
 	case berylticket.PermitRequest:
 		node.send(from, berylticket.PermitAnswer{ID: message.ID, Granted: node.witness.Permit(message.ID)})
 	case berylticket.PermitAnswer:
-		node.permitAnswered(now, message)
+		node.handlePermitAnswer(now, message)
 	case berylticket.SettleRequest:
 		standing := node.owner.Settle(now, message.ID)
 		node.send(from, berylticket.SettleAnswer{ID: message.ID, Token: message.Token, Standing: standing})
@@ -343,6 +351,6 @@
 		standing := node.witness.Close(message.ID)
 		node.send(from, berylticket.SettleAnswer{ID: message.ID, Token: message.Token, Standing: standing, ByWitness: true})
 	case berylticket.SettleAnswer:
-		node.settleAnswered(now, message)
+		node.handleSettleAnswer(now, message)
 	}
 }
--- a/core/berylnode/orders.go
+++ b/core/berylnode/orders.go
@@ -1,6 +1,6 @@
 package berylnode
 
-// This file defines the orders that bring engines to their declared state.
+// This file defines the orders that bring engines into their declared state.
 
 import (
 	"time"
@@ -8,19 +8,20 @@
 	"berylspoke"
 )
 
-// orderRepeat is the time after which an order without effect is repeated.
-const orderRepeat = 5 * time.Second
+// orderResendAfter is the time after which an order that had no effect is sent again.
+const orderResendAfter = 5 * time.Second
 
+// orderState is the last order sent to an engine.
 type orderState struct {
 	fence uint64
 	sent  time.Time
 }
 
-// Compare orders an engine to its declared state if it reports another. The
-// fencing number is the configuration version, so that a repeated order is
-// harmless and an old one is refused by engines that check. Other engines may
-// still take a late order of a paused keeper; they report what they hold, and
-// the next comparison sets it right.
+// Compare orders an engine into its declared state if it reports a different one. The
+// fencing number is the configuration version, so that a repeated order is harmless and
+// engines that check the number refuse an old order. Other engines may still accept a late
+// order from a lessor that was paused; they report the state they hold, and the next
+// comparison corrects it.
 func (node *Node) Compare(now time.Time, id berylspoke.TargetID, held berylspoke.Order) {
 	target, declared := node.Declarations().Targets[id]
 	if !declared || target.Model == "" || !node.Ready() {
@@ -30,11 +31,11 @@
 	if held.Model == target.Model && held.Version == target.Version && held.Role == target.Role && equal(held.Adapters, target.Adapters) {
 		return
 	}
-	last := node.ordered[id]
-	if last.fence == version && now.Sub(last.sent) < orderRepeat {
+	last := node.lastOrders[id]
+	if last.fence == version && now.Sub(last.sent) < orderResendAfter {
 		return
 	}
-	node.ordered[id] = orderState{version, now}
+	node.lastOrders[id] = orderState{version, now}
 	node.effects.Orders = append(node.effects.Orders, Order{id, berylspoke.Order{
 		Fence: version, Model: target.Model, Version: target.Version,
 		Adapters: target.Adapters, Role: target.Role,
--- a/core/berylnode/placement.go
+++ b/core/berylnode/placement.go
@@ -1,6 +1,6 @@
 package berylnode
 
-// This file defines how a node follows changes of membership and configuration.
+// This file defines how a node adapts to changes of membership and configuration.
 
 import (
 	"strings"
@@ -13,14 +13,15 @@
 	"berylspoke/core/berylticket"
 )
 
-// place recomputes the roles when membership or the configuration changed.
-func (node *Node) place(now time.Time) {
+// updatePlacement recomputes the roles of daemons if membership or the configuration
+// changed.
+func (node *Node) updatePlacement(now time.Time) {
 	state, live := node.store.State(), node.table.Live()
-	key := placedFor{version: state.Version, live: joined(live)}
-	if key == node.placed {
+	key := placementKey{version: state.Version, live: joinIDs(live)}
+	if key == node.placement {
 		return
 	}
-	node.placed = key
+	node.placement = key
 	node.fleet = berylroute.Fleet{
 		Self: node.self.VM, Live: live, Declarations: state.Declarations,
 		DomainOf: make(map[berylspoke.VMID]berylspoke.FailureDomain),
@@ -31,20 +32,20 @@
 	placed := berylroute.Place(node.fleet)
 	for id, service := range node.services {
 		if placed[id] == nil {
-			node.retire(now, service)
+			node.removeService(now, service)
 		}
 	}
-	for id, keepers := range placed {
-		node.placeService(now, id, keepers)
+	for id, lessors := range placed {
+		node.placeService(now, id, lessors)
 	}
-	node.dropDead(live)
-	node.weights = 0
+	node.dropDeadPeers(live)
+	node.totalWeight = 0
 	for _, organisation := range state.Declarations.Organisations {
-		node.weights += float64(organisation.Weight)
+		node.totalWeight += float64(organisation.Weight)
 	}
 }
 
-func joined(vms []berylspoke.VMID) string {
+func joinIDs(vms []berylspoke.VMID) string {
 	var text strings.Builder
 	for _, vm := range vms {
 		text.WriteString(string(vm))
@@ -53,7 +54,7 @@
 	return text.String()
 }
 
-func (node *Node) placeService(now time.Time, id berylspoke.ServiceID, keepers *berylroute.Keepers) {
+func (node *Node) placeService(now time.Time, id berylspoke.ServiceID, lessors *berylroute.Keepers) {
 	found := node.services[id]
 	if found == nil {
 		found = &service{
@@ -63,21 +64,21 @@
 		}
 		node.services[id] = found
 	}
-	found.keepers = keepers
-	for target, keeper := range keepers.Of {
-		found.holder.Move(target, keeper)
+	found.lessors = lessors
+	for target, lessor := range lessors.Of {
+		found.holder.Move(target, lessor)
 	}
-	if found.keeper == nil && len(keepers.Mine) > 0 {
-		found.keeper = berylslot.NewKeeper(now, node.self, id, node.options.Keeper)
+	if found.lessor == nil && len(lessors.Mine) > 0 {
+		found.lessor = berylslot.NewKeeper(now, node.self, id, node.options.Keeper)
 	}
-	if found.keeper != nil {
-		found.keeper.SetTargets(now, keepers.Mine)
+	if found.lessor != nil {
+		found.lessor.SetTargets(now, lessors.Mine)
 	}
 }
 
-// retire refuses what waits for a service that is no longer declared; what runs
-// ends in its own time.
-func (node *Node) retire(now time.Time, service *service) {
+// removeService drops a service that is no longer declared and refuses its waiting
+// requests. Running requests finish normally.
+func (node *Node) removeService(now time.Time, service *service) {
 	for id, request := range node.waiting {
 		if request.Service == service.id {
 			node.refuse(now, id, berylspoke.ReasonUnknown, 0)
@@ -86,8 +87,9 @@
 	delete(node.services, service.id)
 }
 
-// dropDead takes slots back from entries, and leases from keepers, that died.
-func (node *Node) dropDead(live []berylspoke.VMID) {
+// dropDeadPeers revokes the slots leased to dead entry daemons and drops the leases of
+// dead lessors.
+func (node *Node) dropDeadPeers(live []berylspoke.VMID) {
 	alive := make(map[berylspoke.VMID]bool, len(live))
 	for _, vm := range live {
 		alive[vm] = true
@@ -98,46 +100,46 @@
 		}
 		for _, service := range node.services {
 			service.holder.Drop(member.VM.ID)
-			if service.keeper != nil {
-				service.keeper.Drop(member.VM.ID)
+			if service.lessor != nil {
+				service.lessor.Drop(member.VM.ID)
 			}
 		}
 	}
 }
 
-// askable returns the keepers that this entry asks for slots now: a few of its
-// own region, and of the other region while work may cross.
-func (node *Node) askable(now time.Time, service *service) berylslot.Asked {
-	if now.Sub(service.turned) > turnEvery {
-		service.turned = now
+// lessorsToAsk returns the lessors that this entry daemon requests slots from now: a few
+// in its own region, and some in other regions while requests may go there.
+func (node *Node) lessorsToAsk(now time.Time, service *service) berylslot.Asked {
+	if now.Sub(service.rotated) > rotationInterval {
+		service.rotated = now
 		service.round++
 	}
 	asked := berylslot.Asked{
-		Local: berylroute.Window(service.keepers.Local, node.options.KeepersAsked, service.round),
-		// The slack by which newcomers are told lower must not carry them over
-		// the paid link.
+		Local: berylroute.Window(service.lessors.Local, node.options.MaxLessors, service.round),
+		// Newcomers are reported with a tag lower by the slack. This alone must not
+		// send them over the link between regions, which is paid by volume.
 		Margin: node.options.CrossMargin + node.options.Keeper.Slack,
 	}
-	if len(service.keepers.Local) == 0 {
+	if len(service.lessors.Local) == 0 {
 		asked.Margin = 0
 	}
-	if node.mayCross(now, service) {
-		asked.Remote = berylroute.Window(service.keepers.Remote, remoteAsked, service.round)
+	if node.mayCrossRegions(now, service) {
+		asked.Remote = berylroute.Window(service.lessors.Remote, maxRemoteLessors, service.round)
 	}
 	return asked
 }
 
 const (
-	// turnEvery is the time between two changes of the last keeper asked.
-	turnEvery = 10 * time.Second
-	// remoteAsked bounds the keepers asked in another region.
-	remoteAsked = 2
+	// rotationInterval is the time between two changes of the last lessor of the window.
+	rotationInterval = 10 * time.Second
+	// maxRemoteLessors bounds the lessors in other regions that are asked for slots.
+	maxRemoteLessors = 2
 )
 
-// mayCross says whether work may leave the region: bytes between regions are
-// paid by volume, so only a lasting shortage is worth them.
-func (node *Node) mayCross(now time.Time, service *service) bool {
-	if len(service.keepers.Local) == 0 {
+// mayCrossRegions reports whether requests may go to another region. Traffic between
+// regions is paid by volume, so only a lasting shortage justifies it.
+func (node *Node) mayCrossRegions(now time.Time, service *service) bool {
+	if len(service.lessors.Local) == 0 {
 		return true
 	}
 	if service.queue.Waiting() == 0 {
@@ -147,21 +149,21 @@
 	if service.backlogged.IsZero() {
 		service.backlogged = now
 	}
-	return now.Sub(service.backlogged) >= node.options.CrossAfter && node.crossing.Left(now) > 0
+	return now.Sub(service.backlogged) >= node.options.CrossAfter && node.crossBudget.Left(now) > 0
 }
 
-// remote says whether a target stands in another region.
-func (node *Node) remote(target berylspoke.TargetID) bool {
+// isRemote reports whether a target is in another region.
+func (node *Node) isRemote(target berylspoke.TargetID) bool {
 	domain := node.Declarations().Targets[target].FailureDomain
 	return node.Declarations().Region(domain) != node.Declarations().Region(node.options.VM.FailureDomain)
 }
 
-// Resolve returns the addresses that an organisation's callers should use, best
-// first, and a ticket for its non-idempotent requests at this daemon.
+// Resolve returns the addresses that an organisation's callers should use, best first,
+// and a ticket for non-idempotent requests at this daemon.
 func (node *Node) Resolve(organisation berylspoke.OrganisationID) ([]string, berylticket.Ticket) {
 	share := 0.0
-	if node.weights > 0 {
-		share = float64(node.Declarations().Organisations[organisation].Weight) / node.weights
+	if node.totalWeight > 0 {
+		share = float64(node.Declarations().Organisations[organisation].Weight) / node.totalWeight
 	}
 	var addresses []string
 	for _, vm := range berylroute.Entries(node.fleet, organisation, share) {
@@ -172,9 +174,9 @@
 	return addresses, node.owner.Mint(node.chooseWitness())
 }
 
-// chooseWitness prefers another failure domain of the same region, then any
-// other failure domain, then another VM. The choice is stable, so that permits
-// need one connection.
+// chooseWitness prefers a daemon in another failure domain of the same region, then one in
+// any other failure domain, then one on any other VM. The choice is stable, so that
+// permits need only one connection.
 func (node *Node) chooseWitness() berylspoke.Process {
 	var best berylspoke.Process
 	bestRank := -1
@@ -197,5 +199,5 @@
 	return best
 }
 
-// startsAnywhere says whether the policy ignores keepers.
-func (node *Node) startsAnywhere() bool { return node.options.Policy == berylshare.FirstCome }
+// ignoresLeases reports whether the policy starts requests without leased slots.
+func (node *Node) ignoresLeases() bool { return node.options.Policy == berylshare.FirstCome }
--- a/core/berylnode/requests.go
+++ b/core/berylnode/requests.go
@@ -1,6 +1,6 @@
 package berylnode
 
-// This file defines the way of a request through the queue to a target.
+// This file defines the path of a request through the queue to a target.
 
 import (
 	"time"
@@ -13,52 +13,54 @@
 )
 
 const (
-	// overloadRetry is when to come back after a refusal for overload.
-	overloadRetry = 2 * time.Second
-	// startingRetry is when to come back to a daemon that is starting.
-	startingRetry = time.Second
+	// overloadRetryAfter is the retry delay told to a caller refused for overload.
+	overloadRetryAfter = 2 * time.Second
+	// startingRetryAfter is the retry delay told to a caller of a starting or draining
+	// daemon.
+	startingRetryAfter = time.Second
 )
 
-// Submit queues a request; its fate arrives as an effect under its id.
+// Submit queues a request. A Start or Refuse effect with its ID follows.
 func (node *Node) Submit(now time.Time, request Request) {
 	node.waiting[request.Request] = &request
 	organisation, known := node.Declarations().Organisations[request.Organisation]
 	service := node.services[request.Service]
 	switch {
 	case !node.Ready():
-		node.refuse(now, request.Request, berylspoke.ReasonStarting, startingRetry)
+		node.refuse(now, request.Request, berylspoke.ReasonStarting, startingRetryAfter)
 		return
 	case node.closed:
-		node.refuse(now, request.Request, berylspoke.ReasonDraining, startingRetry)
+		node.refuse(now, request.Request, berylspoke.ReasonDraining, startingRetryAfter)
 		return
 	case service == nil || !known:
 		node.refuse(now, request.Request, berylspoke.ReasonUnknown, 0)
 		return
-	case len(service.keepers.Of) == 0:
-		node.refuse(now, request.Request, berylspoke.ReasonNoTarget, overloadRetry)
+	case len(service.lessors.Of) == 0:
+		node.refuse(now, request.Request, berylspoke.ReasonNoTarget, overloadRetryAfter)
 		return
 	}
-	node.retries.Earn(node.options.Retries)
-	node.setTime(now, service)
+	node.retryBudget.Earn(node.options.RetriesPerRequest)
+	node.updateVirtualTime(now, service)
 	displaced, err := service.queue.Push(request.Waiting, organisation.Weight, organisation.MaxWaiting)
 	if displaced != nil {
-		node.refuse(now, displaced.Request, berylspoke.ReasonOverload, overloadRetry)
+		node.refuse(now, displaced.Request, berylspoke.ReasonOverload, overloadRetryAfter)
 	}
 	switch {
 	case errors.Is(err, berylshare.ErrOrganisationFull):
-		node.refuse(now, request.Request, berylspoke.ReasonOrganisation, overloadRetry)
+		node.refuse(now, request.Request, berylspoke.ReasonOrganisation, overloadRetryAfter)
 	case err != nil:
-		node.refuse(now, request.Request, berylspoke.ReasonOverload, overloadRetry)
+		node.refuse(now, request.Request, berylspoke.ReasonOverload, overloadRetryAfter)
 	default:
 		node.dispatch(now, service)
 	}
 }
 
-// Retry says whether the budget allows a retry of an idempotent request.
-func (node *Node) Retry(now time.Time) bool { return node.retries.Spend(now, 1) }
+// Retry reports whether the budget allows a retry of an idempotent request, and charges
+// it.
+func (node *Node) Retry(now time.Time) bool { return node.retryBudget.Spend(now, 1) }
 
-func (node *Node) setTime(now time.Time, service *service) {
-	service.queue.SetVirtualTime(service.holder.Time(now, service.keepers.Local))
+func (node *Node) updateVirtualTime(now time.Time, service *service) {
+	service.queue.SetVirtualTime(service.holder.Time(now, service.lessors.Local))
 }
 
 // refuse ends a request that never reached a target.
@@ -76,15 +78,15 @@
 	}})
 }
 
-// expire refuses what waited past its deadline, with the final answer at once.
+// expire refuses the requests that waited past their deadline.
 func (node *Node) expire(now time.Time, service *service) {
 	for _, request := range service.queue.Expire(now) {
-		node.refuse(now, request.Request, berylspoke.ReasonWaitedTooLong, overloadRetry)
+		node.refuse(now, request.Request, berylspoke.ReasonWaitedTooLong, overloadRetryAfter)
 	}
 }
 
-// Cancel ends a request whose caller went away; it returns true if the request
-// had not started.
+// Cancel ends a waiting request whose caller disconnected. It returns false if the
+// request is not waiting.
 func (node *Node) Cancel(now time.Time, id berylspoke.RequestID) bool {
 	request := node.waiting[id]
 	if request == nil {
@@ -97,11 +99,11 @@
 	return true
 }
 
-// dispatch starts waiting requests while there are slots for them.
+// dispatch starts waiting requests while slots are free.
 func (node *Node) dispatch(now time.Time, service *service) {
-	node.setTime(now, service)
+	node.updateVirtualTime(now, service)
 	for service.queue.Waiting() > 0 {
-		places := node.usable(now, service)
+		places := node.usablePlaces(now, service)
 		if len(places) == 0 {
 			return
 		}
@@ -109,25 +111,25 @@
 		if !ok {
 			return
 		}
-		node.begin(now, service, started, node.choose(places, started.Prefix))
+		node.startRequest(now, service, started, node.choosePlace(places, started.Prefix))
 	}
 }
 
-// usable lists the places where the next request may start.
-func (node *Node) usable(now time.Time, service *service) []berylslot.Place {
-	if node.startsAnywhere() {
-		return node.anywhere(now, service)
+// usablePlaces returns the places where the next request may start.
+func (node *Node) usablePlaces(now time.Time, service *service) []berylslot.Place {
+	if node.ignoresLeases() {
+		return node.randomPlace(now, service)
 	}
-	cross := node.mayCross(now, service)
+	cross := node.mayCrossRegions(now, service)
 	tag, _ := service.queue.Head()
 	var usable []berylslot.Place
 	for _, place := range service.holder.Free(now, tag) {
-		// A leaving target has no keeper any more; the slots that were leased
-		// before it was declared leaving must not be used.
-		if service.keepers.Of[place.Target] == "" || !node.health.Usable(now, place.Target) {
+		// A leaving target has no lessor any more. Slots leased before it was declared
+		// leaving must not be used.
+		if service.lessors.Of[place.Target] == "" || !node.health.Usable(now, place.Target) {
 			continue
 		}
-		if !cross && node.remote(place.Target) {
+		if !cross && node.isRemote(place.Target) {
 			continue
 		}
 		usable = append(usable, place)
@@ -135,8 +137,8 @@
 	return usable
 }
 
-// anywhere lists one random target, for the baseline without keepers.
-func (node *Node) anywhere(now time.Time, service *service) []berylslot.Place {
+// randomPlace returns one random usable target, for the baseline without lessors.
+func (node *Node) randomPlace(now time.Time, service *service) []berylslot.Place {
 	targets := node.Declarations().TargetsOf(service.id)
 	var usable []berylspoke.TargetID
 	for _, target := range targets {
@@ -150,9 +152,9 @@
 	return []berylslot.Place{{Target: usable[node.random.IntN(len(usable))]}}
 }
 
-// choose prefers a free target that holds the request's prefix, then one of the
-// own region, then the one with the most idle slots.
-func (node *Node) choose(places []berylslot.Place, prefix uint64) berylslot.Place {
+// choosePlace prefers the target that holds the request's prompt prefix, then targets in
+// its own region, then the target with the most idle slots.
+func (node *Node) choosePlace(places []berylslot.Place, prefix uint64) berylslot.Place {
 	if target := node.prefixes.Target(prefix); target != "" {
 		for _, place := range places {
 			if place.Target == target {
@@ -161,50 +163,51 @@
 		}
 	}
 	for _, place := range places {
-		if !node.remote(place.Target) {
+		if !node.isRemote(place.Target) {
 			return place
 		}
 	}
 	return places[0]
 }
 
-func (node *Node) begin(now time.Time, service *service, started *berylshare.StartedRequest, place berylslot.Place) {
+func (node *Node) startRequest(now time.Time, service *service, started *berylshare.StartedRequest, place berylslot.Place) {
 	request := node.waiting[started.Request]
 	delete(node.waiting, started.Request)
 	if place.Keeper != "" {
 		service.holder.Start(now, place, started.Tag)
 	}
-	entry := &running{service: service, started: started, place: place, call: request.Call}
-	node.running[started.Request] = entry
+	active := &activeRequest{service: service, started: started, place: place, call: request.Call}
+	node.running[started.Request] = active
 	if request.Call == nil {
-		node.launch(entry)
+		node.launch(active)
 		return
 	}
-	node.askPermit(now, entry)
+	node.requestPermit(now, active)
 }
 
-// launch tells io to send the request.
-func (node *Node) launch(entry *running) {
-	node.prefixes.Note(entry.started.Prefix, entry.place.Target)
-	node.effects.Starts = append(node.effects.Starts, Start{entry.started.Request, entry.place.Target})
+// launch appends the effect that sends the request to its target.
+func (node *Node) launch(active *activeRequest) {
+	node.prefixes.Note(active.started.Prefix, active.place.Target)
+	node.effects.Starts = append(node.effects.Starts, Start{active.started.Request, active.place.Target})
 }
 
-// Progress charges what a running request received and notes its pace.
-func (node *Node) Progress(id berylspoke.RequestID, received berylspoke.Tokens, pace time.Duration) {
-	entry := node.running[id]
-	if entry == nil {
+// Progress charges the service that a running request received and records the time
+// between its tokens.
+func (node *Node) Progress(id berylspoke.RequestID, received berylspoke.Tokens, tokenInterval time.Duration) {
+	active := node.running[id]
+	if active == nil {
 		return
 	}
-	entry.service.queue.Progress(entry.started, received)
-	entry.service.holder.Pace(entry.place, pace)
+	active.service.queue.Progress(active.started, received)
+	active.service.holder.Pace(active.place, tokenInterval)
 }
 
-// Outcome is how the attempt of a request at a target ended.
+// Outcome is the result of an attempt at a target.
 type Outcome struct {
 	Received berylspoke.Tokens
-	// Bytes is what the attempt moved between entry and target.
+	// Bytes is the traffic of the attempt between entry daemon and target.
 	Bytes int
-	// Failed is set if the target or the way to it failed.
+	// Failed is set if the target or the connection to it failed.
 	Failed  bool
 	Verdict berylspoke.Verdict
 	Answer  berylspoke.Answer
@@ -212,54 +215,54 @@
 
 // Finish ends a running request and frees its slot.
 func (node *Node) Finish(now time.Time, id berylspoke.RequestID, outcome Outcome) {
-	entry := node.running[id]
-	if entry == nil {
+	active := node.running[id]
+	if active == nil {
 		return
 	}
 	delete(node.running, id)
-	service := entry.service
-	service.queue.Finish(entry.started, outcome.Received)
+	service := active.service
+	service.queue.Finish(active.started, outcome.Received)
 	if outcome.Failed {
-		node.health.Failed(now, entry.place.Target)
+		node.health.Failed(now, active.place.Target)
 	} else {
-		node.health.Worked(entry.place.Target)
+		node.health.Worked(active.place.Target)
 	}
-	if node.remote(entry.place.Target) {
-		node.crossing.Charge(now, float64(outcome.Bytes))
+	if node.isRemote(active.place.Target) {
+		node.crossBudget.Charge(now, float64(outcome.Bytes))
 	}
-	if entry.call != nil {
-		node.owner.Finish(now, *entry.call, outcome.Verdict, outcome.Answer)
+	if active.call != nil {
+		node.owner.Finish(now, *active.call, outcome.Verdict, outcome.Answer)
 	}
 	next, waiting := service.queue.Head()
-	if entry.place.Keeper != "" {
-		service.holder.Finish(now, entry.place, next, waiting)
+	if active.place.Keeper != "" {
+		service.holder.Finish(now, active.place, next, waiting)
 	}
 	node.dispatch(now, service)
 }
 
-// Target returns where a request runs, or "".
+// Target returns the target where a request runs, or "" if it is not running.
 func (node *Node) Target(id berylspoke.RequestID) berylspoke.TargetID {
-	if entry := node.running[id]; entry != nil {
-		return entry.place.Target
+	if active := node.running[id]; active != nil {
+		return active.place.Target
 	}
 	return ""
 }
 
-// Load takes a target's load report.
+// Load passes a target's load report to its lessor.
 func (node *Node) Load(now time.Time, target berylspoke.TargetID, report berylspoke.LoadReport) {
 	service := node.services[node.Declarations().Targets[target].Service]
-	if service != nil && service.keeper != nil {
-		service.keeper.Report(now, target, report)
+	if service != nil && service.lessor != nil {
+		service.lessor.Report(now, target, report)
 	}
 }
 
-// Kept lists the targets whose load this daemon reads.
+// Kept returns the targets whose lessor is this daemon and whose load it must read.
 func (node *Node) Kept() []berylspoke.TargetID {
-	var kept []berylspoke.TargetID
+	var targets []berylspoke.TargetID
 	for _, service := range node.services {
-		if service.keeper != nil {
-			kept = append(kept, service.keeper.Targets()...)
+		if service.lessor != nil {
+			targets = append(targets, service.lessor.Targets()...)
 		}
 	}
-	return kept
+	return targets
 }
