--- a/core/berylroute/budget.go
+++ b/core/berylroute/budget.go
@@ -6,46 +6,47 @@
 	"time"
 )
 
-// Budget is a bucket that refills with time and with earned credit.
+// Budget is a token bucket that refills with time and with earned units.
 type Budget struct {
-	level, most float64
-	perSecond   float64
-	last        time.Time
+	credit, capacity float64
+	perSecond        float64
+	last             time.Time
 }
 
-// NewBudget returns a full budget of most units that refills by perSecond.
-func NewBudget(now time.Time, perSecond, most float64) *Budget {
-	return &Budget{level: most, most: most, perSecond: perSecond, last: now}
+// NewBudget returns a full budget of the given capacity that refills by perSecond units a
+// second.
+func NewBudget(now time.Time, perSecond, capacity float64) *Budget {
+	return &Budget{credit: capacity, capacity: capacity, perSecond: perSecond, last: now}
 }
 
 func (budget *Budget) refill(now time.Time) {
 	if elapsed := now.Sub(budget.last); elapsed > 0 {
-		budget.level = min(budget.level+elapsed.Seconds()*budget.perSecond, budget.most)
+		budget.credit = min(budget.credit+elapsed.Seconds()*budget.perSecond, budget.capacity)
 		budget.last = now
 	}
 }
 
-// Earn adds credit, as a first attempt does for later retries.
-func (budget *Budget) Earn(units float64) { budget.level = min(budget.level+units, budget.most) }
+// Earn adds units, as a first attempt does for later retries.
+func (budget *Budget) Earn(units float64) { budget.credit = min(budget.credit+units, budget.capacity) }
 
-// Spend takes units if they are there and says whether it did.
+// Spend takes units if they are available and reports whether it did.
 func (budget *Budget) Spend(now time.Time, units float64) bool {
 	budget.refill(now)
-	if budget.level < units {
+	if budget.credit < units {
 		return false
 	}
-	budget.level -= units
+	budget.credit -= units
 	return true
 }
 
-// Charge takes units that are already spent; the level may fall below zero.
+// Charge takes units that are already spent; the budget may become negative.
 func (budget *Budget) Charge(now time.Time, units float64) {
 	budget.refill(now)
-	budget.level -= units
+	budget.credit -= units
 }
 
-// Left returns the units left.
+// Left returns the remaining units.
 func (budget *Budget) Left(now time.Time) float64 {
 	budget.refill(now)
-	return budget.level
+	return budget.credit
 }
--- a/core/berylroute/health.go
+++ b/core/berylroute/health.go
@@ -1,6 +1,6 @@
 package berylroute
 
-// This file defines which targets an entry avoids after failures.
+// This file defines which targets an entry daemon avoids after failures.
 
 import (
 	"time"
@@ -10,39 +10,39 @@
 
 const (
 	firstPause = 500 * time.Millisecond
-	longPause  = 15 * time.Second
+	maxPause   = 15 * time.Second
 )
 
-type ailment struct {
+type failureRecord struct {
 	failures int
 	until    time.Time
 }
 
-// Health remembers the targets that failed for this entry lately.
+// Health records the targets that recently failed for this entry daemon.
 type Health struct {
-	ailing map[berylspoke.TargetID]*ailment
+	failing map[berylspoke.TargetID]*failureRecord
 }
 
 // NewHealth returns a health record without failures.
-func NewHealth() *Health { return &Health{ailing: make(map[berylspoke.TargetID]*ailment)} }
+func NewHealth() *Health { return &Health{failing: make(map[berylspoke.TargetID]*failureRecord)} }
 
-// Failed pauses a target, longer with each failure in a row.
+// Failed pauses a target, for longer after each consecutive failure.
 func (health *Health) Failed(now time.Time, target berylspoke.TargetID) {
-	found := health.ailing[target]
-	if found == nil {
-		found = new(ailment)
-		health.ailing[target] = found
+	record := health.failing[target]
+	if record == nil {
+		record = new(failureRecord)
+		health.failing[target] = record
 	}
-	pause := min(firstPause<<min(found.failures, 8), longPause)
-	found.failures++
-	found.until = now.Add(pause)
+	pause := min(firstPause<<min(record.failures, 8), maxPause)
+	record.failures++
+	record.until = now.Add(pause)
 }
 
 // Worked ends a target's pause.
-func (health *Health) Worked(target berylspoke.TargetID) { delete(health.ailing, target) }
+func (health *Health) Worked(target berylspoke.TargetID) { delete(health.failing, target) }
 
-// Usable says whether a request may go to the target now.
+// Usable reports whether a request may be sent to the target now.
 func (health *Health) Usable(now time.Time, target berylspoke.TargetID) bool {
-	found := health.ailing[target]
-	return found == nil || !now.Before(found.until)
+	record := health.failing[target]
+	return record == nil || !now.Before(record.until)
 }
--- a/core/berylroute/placement.go
+++ b/core/berylroute/placement.go
@@ -1,6 +1,6 @@
 package berylroute
 
-// This file defines which daemon keeps which target and serves whom.
+// This file places targets on lessors and organisations on entry daemons.
 
 import (
 	"math"
@@ -11,19 +11,18 @@
 	"berylspoke/core/berylmember"
 )
 
-// Keepers are the daemons that keep one service's targets, as one entry sees
-// them.
+// Keepers are the lessors of one service's targets, as one entry daemon sees them.
 type Keepers struct {
-	// Of maps each serving target to its keeper.
+	// Of maps each serving target to its lessor.
 	Of map[berylspoke.TargetID]berylspoke.VMID
-	// Local and Remote list the keepers in and outside the entry's region in
-	// the order in which this entry prefers them.
+	// Local and Remote list the lessors inside and outside the entry daemon's region,
+	// in the order in which it prefers them.
 	Local, Remote []berylspoke.VMID
-	// Mine lists the targets that this daemon keeps.
+	// The targets whose lessor is this daemon.
 	Mine []berylspoke.TargetID
 }
 
-// Fleet is what placement depends on.
+// Fleet is the input of placement.
 type Fleet struct {
 	Self         berylspoke.VMID
 	Live         []berylspoke.VMID
@@ -45,11 +44,11 @@
 	return groups
 }
 
-// Place computes the keepers of every service.
+// Place computes the lessors of every service.
 //
-// A target is kept in its own region, so that a cut between regions leaves each
-// side with keepers for all that it can reach. Without a live VM there, any VM
-// keeps it.
+// The lessor of a target is in the target's region, so that a partition between regions
+// leaves each side with lessors for all targets that it can reach. If no VM is live
+// there, any VM may be the lessor.
 func Place(fleet Fleet) map[berylspoke.ServiceID]*Keepers {
 	placed := make(map[berylspoke.ServiceID]*Keepers, len(fleet.Declarations.Services))
 	for service := range fleet.Declarations.Services {
@@ -61,12 +60,12 @@
 		if len(candidates) == 0 {
 			candidates = fleet.Live
 		}
-		for target, keeper := range spread(targets, candidates) {
-			placed[fleet.Declarations.Targets[target].Service].Of[target] = keeper
+		for target, lessor := range spread(targets, candidates) {
+			placed[fleet.Declarations.Targets[target].Service].Of[target] = lessor
 		}
 	}
-	for _, keepers := range placed {
-		keepers.arrange(fleet)
+	for _, lessors := range placed {
+		lessors.arrange(fleet)
 	}
 	return placed
 }
@@ -83,13 +82,13 @@
 	return groups
 }
 
-// spread gives each target to the VM of the highest score that is not full yet.
-// The bound keeps the cost of the daemon with most targets near the mean; a
-// plain rendezvous hash gives some daemon three times the mean.
+// spread assigns each target to the VM with the highest score that is not full yet. The
+// bound keeps the cost of the daemon with the most targets near the mean; plain
+// rendezvous hashing gives some daemon three times the mean.
 func spread(targets []berylspoke.TargetID, vms []berylspoke.VMID) map[berylspoke.TargetID]berylspoke.VMID {
-	keepers := make(map[berylspoke.TargetID]berylspoke.VMID, len(targets))
+	lessors := make(map[berylspoke.TargetID]berylspoke.VMID, len(targets))
 	if len(vms) == 0 {
-		return keepers
+		return lessors
 	}
 	sort.Slice(targets, func(i, j int) bool { return targets[i] < targets[j] })
 	bound := int(math.Ceil(spreadFactor * float64(len(targets)) / float64(len(vms))))
@@ -103,30 +102,30 @@
 			}
 		}
 		load[best]++
-		keepers[target] = best
+		lessors[target] = best
 	}
-	return keepers
+	return lessors
 }
 
-// spreadFactor is how far above the mean a daemon's share of targets may be.
+// spreadFactor is how many times the mean a daemon's number of targets may be.
 const spreadFactor = 1.1
 
-// arrange derives the lists of one entry from the keepers of all targets.
-func (keepers *Keepers) arrange(fleet Fleet) {
+// arrange derives the lists of one entry daemon from the lessors of all targets.
+func (lessors *Keepers) arrange(fleet Fleet) {
 	local, remote := make(map[berylspoke.VMID]bool), make(map[berylspoke.VMID]bool)
-	for target, keeper := range keepers.Of {
-		if keeper == fleet.Self {
-			keepers.Mine = append(keepers.Mine, target)
+	for target, lessor := range lessors.Of {
+		if lessor == fleet.Self {
+			lessors.Mine = append(lessors.Mine, target)
 		}
 		if fleet.Declarations.Region(fleet.Declarations.Targets[target].FailureDomain) == fleet.region(fleet.Self) {
-			local[keeper] = true
+			local[lessor] = true
 		} else {
-			remote[keeper] = true
+			remote[lessor] = true
 		}
 	}
 	preference := "entry " + string(fleet.Self)
-	keepers.Local = berylmember.Ranked(preference, names(local), len(local))
-	keepers.Remote = berylmember.Ranked(preference, names(remote), len(remote))
+	lessors.Local = berylmember.Ranked(preference, names(local), len(local))
+	lessors.Remote = berylmember.Ranked(preference, names(remote), len(remote))
 }
 
 func names(set map[berylspoke.VMID]bool) []berylspoke.VMID {
@@ -137,37 +136,38 @@
 	return list
 }
 
-// Window returns the count keepers to ask in the given round: always the
-// preferred ones but for the last place, which moves on from round to round. An
-// entry with a backlog so finds free capacity that its preferred keepers lack.
-func Window(keepers []berylspoke.VMID, count int, round uint64) []berylspoke.VMID {
-	if len(keepers) <= count {
-		return keepers
+// Window returns the count lessors to request slots from in the given round: the
+// preferred ones, but in the last place one of the others, which changes from round to
+// round. An entry daemon with a backlog thus finds free capacity that its preferred
+// lessors lack.
+func Window(lessors []berylspoke.VMID, count int, round uint64) []berylspoke.VMID {
+	if len(lessors) <= count {
+		return lessors
 	}
-	window := append([]berylspoke.VMID(nil), keepers[:count-1]...)
-	rest := keepers[count-1:]
+	window := append([]berylspoke.VMID(nil), lessors[:count-1]...)
+	rest := lessors[count-1:]
 	return append(window, rest[round%uint64(len(rest))])
 }
 
-// Entries returns the VMs that an organisation's callers should use, best
-// first: VMs of the resolving daemon's region, more of them for a larger share.
+// Entries returns the VMs that an organisation's callers should use, best first: VMs of
+// the resolving daemon's region, more of them for a larger share.
 func Entries(fleet Fleet, organisation berylspoke.OrganisationID, share float64) []berylspoke.VMID {
 	candidates := fleet.regions()[fleet.region(fleet.Self)]
 	if len(candidates) == 0 {
 		candidates = fleet.Live
 	}
-	count := max(int(share*entriesPerShare*float64(len(candidates))), leastEntries)
+	count := max(int(share*entriesPerShare*float64(len(candidates))), minEntries)
 	return berylmember.Ranked("organisation "+string(organisation), candidates, count)
 }
 
 const (
-	// leastEntries gives a caller one address to fall back on.
-	leastEntries = 2
-	// entriesPerShare spreads an organisation over twice its share of entries.
+	// minEntries gives a caller one address to fall back on.
+	minEntries = 2
+	// entriesPerShare spreads an organisation over twice its share of the entry daemons.
 	entriesPerShare = 2
 )
 
-// LedgerOf returns the VM that sums an organisation's service.
+// LedgerOf returns the VM that sums up an organisation's service.
 func LedgerOf(organisation berylspoke.OrganisationID, live []berylspoke.VMID) berylspoke.VMID {
 	return berylmember.Holder("organisation "+string(organisation), live)
 }
--- a/core/berylroute/prefix.go
+++ b/core/berylroute/prefix.go
@@ -1,6 +1,6 @@
 package berylroute
 
-// This file defines the memory of which target holds which prompt prefix.
+// This file records which target holds which prompt prefix.
 
 import (
 	"github.com/cespare/xxhash/v2"
@@ -10,11 +10,11 @@
 
 const (
 	prefixBytes = 512
-	prefixesMax = 8192
+	maxPrefixes = 8192
 )
 
-// PrefixOf returns the hash of a prompt's beginning, zero for a short prompt
-// that is cheaper to compute than to look for.
+// PrefixOf returns the hash of a prompt's first bytes, zero for a prompt so short that it
+// is cheaper to compute than to look up.
 func PrefixOf(prompt string) uint64 {
 	if len(prompt) < prefixBytes {
 		return 0
@@ -22,25 +22,25 @@
 	return xxhash.Sum64String(prompt[:prefixBytes])
 }
 
-// Prefixes remembers the last target that saw each prefix. Engines publish
-// cache events late and with gaps, so an entry goes by its own dispatches; a
-// wrong guess costs a prefill, never an answer.
+// Prefixes records the last target that received each prefix. Engines publish cache
+// events late and with gaps, so an entry daemon relies on its own dispatches; a wrong
+// guess costs a prefill, never an answer.
 type Prefixes struct {
 	targets map[uint64]berylspoke.TargetID
 	order   []uint64
 }
 
-// NewPrefixes returns an empty memory.
+// NewPrefixes returns an empty record.
 func NewPrefixes() *Prefixes { return &Prefixes{targets: make(map[uint64]berylspoke.TargetID)} }
 
-// Note remembers that a target now holds the prefix.
+// Note records that a target now holds the prefix.
 func (prefixes *Prefixes) Note(prefix uint64, target berylspoke.TargetID) {
 	if prefix == 0 {
 		return
 	}
 	if _, known := prefixes.targets[prefix]; !known {
 		prefixes.order = append(prefixes.order, prefix)
-		if len(prefixes.order) > prefixesMax {
+		if len(prefixes.order) > maxPrefixes {
 			delete(prefixes.targets, prefixes.order[0])
 			prefixes.order = prefixes.order[1:]
 		}
@@ -48,7 +48,7 @@
 	prefixes.targets[prefix] = target
 }
 
-// Target returns the target that likely holds the prefix, or "".
+// Target returns the target that likely holds the prefix, or "" if none is known.
 func (prefixes *Prefixes) Target(prefix uint64) berylspoke.TargetID {
 	if prefix == 0 {
 		return ""
--- a/core/berylroute/route_test.go
+++ b/core/berylroute/route_test.go
@@ -11,7 +11,7 @@
 	"berylspoke/core/berylconfig"
 )
 
-// fleetOf is a fleet of VMs and targets spread over eight failure domains in two
+// fleetOf returns a fleet of VMs and targets spread over eight failure domains in two
 // regions.
 func fleetOf(vms, targets int) Fleet {
 	declarations := &berylconfig.Declarations{
@@ -36,21 +36,21 @@
 	return fleet
 }
 
-// Every serving target has one keeper in its region, and no daemon keeps many
+// Every serving target has one lessor in its region, and no daemon is the lessor of many
 // more targets than the mean.
 func TestTargetsAreSpreadWithinTheirRegion(t *testing.T) {
 	for _, size := range []struct{ vms, targets int }{{8, 21}, {340, 650}} {
 		fleet := fleetOf(size.vms, size.targets)
 		load := make(map[berylspoke.VMID]int)
-		for target, keeper := range Place(fleet)["model"].Of {
-			load[keeper]++
-			require.Equal(t, fleet.Declarations.Region(fleet.Declarations.Targets[target].FailureDomain), fleet.region(keeper))
+		for target, lessor := range Place(fleet)["model"].Of {
+			load[lessor]++
+			require.Equal(t, fleet.Declarations.Region(fleet.Declarations.Targets[target].FailureDomain), fleet.region(lessor))
 		}
 		total := 0
-		for keeper, count := range load {
+		for lessor, count := range load {
 			total += count
-			targets := fleet.targets()[fleet.region(keeper)]
-			vms := fleet.regions()[fleet.region(keeper)]
+			targets := fleet.targets()[fleet.region(lessor)]
+			vms := fleet.regions()[fleet.region(lessor)]
 			require.Less(t, float64(count), spreadFactor*float64(len(targets))/float64(len(vms))+1)
 		}
 		require.Equal(t, size.targets, total)
@@ -82,8 +82,8 @@
 	for range 20 {
 		health.Failed(now, "t")
 	}
-	require.False(t, health.Usable(now.Add(longPause-time.Millisecond), "t"))
-	require.True(t, health.Usable(now.Add(longPause), "t"))
+	require.False(t, health.Usable(now.Add(maxPause-time.Millisecond), "t"))
+	require.True(t, health.Usable(now.Add(maxPause), "t"))
 	health.Worked("t")
 	require.True(t, health.Usable(now, "t"))
 }
