--- a/io/berylpeer/codec.go
+++ b/io/berylpeer/codec.go
@@ -1,6 +1,6 @@
 package berylpeer
 
-// This file defines the encoding of messages: a kind and a CBOR array each.
+// This file defines the encoding of messages: a kind byte followed by a CBOR array.
 
 import (
 	"reflect"
@@ -17,50 +17,51 @@
 	kindHeartbeat kind = iota + 1
 	kindPullRequest
 	kindPullAnswer
-	kindAsk
+	kindDemand
 	kindLease
-	kindReports
-	kindTotals
+	kindShareReports
+	kindShareTotals
 	kindPermitRequest
 	kindPermitAnswer
 	kindSettleRequest
 	kindCloseRequest
 	kindSettleAnswer
-	kindPull
-	kindDelta
-	kindReport
+	kindFeedPull
+	kindFeedDelta
+	kindDaemonReport
 	kindUsage
-	// kindsEnd is one beyond the last kind.
+	// kindsEnd is one more than the last kind.
 	kindsEnd
 )
 
-// kindNames are the kinds as metric labels.
+// kindNames maps each kind to its metric label.
 var kindNames = map[kind]string{
 	kindHeartbeat: "heartbeat", kindPullRequest: "pullRequest", kindPullAnswer: "pullAnswer",
-	kindAsk: "ask", kindLease: "lease", kindReports: "reports", kindTotals: "totals",
+	kindDemand: "ask", kindLease: "lease", kindShareReports: "reports", kindShareTotals: "totals",
 	kindPermitRequest: "permitRequest", kindPermitAnswer: "permitAnswer",
 	kindSettleRequest: "settleRequest", kindCloseRequest: "closeRequest", kindSettleAnswer: "settleAnswer",
-	kindPull: "pull", kindDelta: "delta", kindReport: "report", kindUsage: "usage",
+	kindFeedPull: "pull", kindFeedDelta: "delta", kindDaemonReport: "report", kindUsage: "usage",
 }
 
-// wireMessage is the wire form of one kind of message.
+// wireMessage is the encoded form of one kind of message.
 type wireMessage interface {
-	// message converts back; the sender's VM is known from its certificate.
+	// message converts to the core's message. The sender's VM is taken from its
+	// certificate.
 	message(from berylspoke.VMID) berylspoke.Message
 }
 
 var (
-	encoding = mustEncoding()
-	decoding = mustDecoding()
+	encMode = mustEncMode()
+	decMode = mustDecMode()
 )
 
-// Limits of decoded messages: a garbled length must not allocate without bound.
+// Limits of decoded messages: a malformed length must not allocate without bound.
 const (
 	maxElements = 65_536
 	maxNesting  = 8
 )
 
-func mustEncoding() cbor.EncMode {
+func mustEncMode() cbor.EncMode {
 	mode, err := cbor.EncOptions{}.EncMode()
 	if err != nil {
 		panic(err)
@@ -68,7 +69,7 @@
 	return mode
 }
 
-func mustDecoding() cbor.DecMode {
+func mustDecMode() cbor.DecMode {
 	mode, err := cbor.DecOptions{
 		MaxArrayElements: maxElements, MaxMapPairs: maxElements, MaxNestedLevels: maxNesting,
 		ExtraReturnErrors: cbor.ExtraDecErrorUnknownField,
@@ -79,52 +80,52 @@
 	return mode
 }
 
-// wireKinds makes an empty wire form of each kind.
-var wireKinds = map[kind]func() wireMessage{
+// newWireMessage returns an empty wire message of each kind.
+var newWireMessage = map[kind]func() wireMessage{
 	kindHeartbeat:     func() wireMessage { return new(wireHeartbeat) },
 	kindPullRequest:   func() wireMessage { return new(wirePullRequest) },
 	kindPullAnswer:    func() wireMessage { return new(wirePullAnswer) },
-	kindAsk:           func() wireMessage { return new(wireAsk) },
+	kindDemand:        func() wireMessage { return new(wireDemand) },
 	kindLease:         func() wireMessage { return new(wireLease) },
-	kindReports:       func() wireMessage { return new(wireReports) },
-	kindTotals:        func() wireMessage { return new(wireTotals) },
+	kindShareReports:  func() wireMessage { return new(wireShareReports) },
+	kindShareTotals:   func() wireMessage { return new(wireShareTotals) },
 	kindPermitRequest: func() wireMessage { return new(wirePermitRequest) },
 	kindPermitAnswer:  func() wireMessage { return new(wirePermitAnswer) },
 	kindSettleRequest: func() wireMessage { return new(wireSettleRequest) },
 	kindCloseRequest:  func() wireMessage { return new(wireCloseRequest) },
 	kindSettleAnswer:  func() wireMessage { return new(wireSettleAnswer) },
-	kindPull:          func() wireMessage { return new(wirePull) },
-	kindDelta:         func() wireMessage { return new(wireDelta) },
-	kindReport:        func() wireMessage { return new(wireDispatches) },
+	kindFeedPull:      func() wireMessage { return new(wireFeedPull) },
+	kindFeedDelta:     func() wireMessage { return new(wireFeedDelta) },
+	kindDaemonReport:  func() wireMessage { return new(wireDaemonReport) },
 	kindUsage:         func() wireMessage { return new(wireUsage) },
 }
 
-// encode returns the wire form of a message.
+// encode returns the kind byte and the CBOR encoding of a message.
 func encode(message berylspoke.Message) ([]byte, error) {
 	wire, kind := toWire(message)
 	if wire == nil {
-		return nil, errors.Errorf("message %s has no wire form", reflect.TypeOf(message))
+		return nil, errors.Errorf("message type %s has no wire encoding", reflect.TypeOf(message))
 	}
-	body, err := encoding.Marshal(wire)
+	body, err := encMode.Marshal(wire)
 	if err != nil {
 		return nil, errors.Wrap(err, "message cannot be encoded")
 	}
 	return append([]byte{byte(kind)}, body...), nil
 }
 
-// decode returns the messages of one datagram or stream. A garbled message ends
-// the packet: what follows it cannot be told apart.
+// decode returns the messages of one datagram or stream. It stops at a malformed
+// message, because the start of the next one is not known.
 func decode(from berylspoke.VMID, packet []byte) ([]berylspoke.Message, error) {
 	var messages []berylspoke.Message
 	for len(packet) > 0 {
-		make, known := wireKinds[kind(packet[0])]
+		newMessage, known := newWireMessage[kind(packet[0])]
 		if !known {
-			return messages, errors.Errorf("kind %d is unknown", packet[0])
+			return messages, errors.Errorf("message kind %d is unknown", packet[0])
 		}
-		wire := make()
-		rest, err := decoding.UnmarshalFirst(packet[1:], wire)
+		wire := newMessage()
+		rest, err := decMode.UnmarshalFirst(packet[1:], wire)
 		if err != nil {
-			return messages, errors.Wrapf(err, "kind %d is garbled", packet[0])
+			return messages, errors.Wrapf(err, "message of kind %d is malformed", packet[0])
 		}
 		messages = append(messages, wire.message(from))
 		packet = rest
--- a/io/berylpeer/count.go
+++ b/io/berylpeer/count.go
@@ -1,6 +1,6 @@
 package berylpeer
 
-// This file defines the socket that counts bytes as on the wire.
+// This file defines a packet socket that counts its traffic, headers included.
 
 import (
 	"maps"
@@ -13,7 +13,7 @@
 	"berylspoke"
 )
 
-// Link is the kind of link that a packet crosses.
+// Link is the kind of network link between two VMs.
 type Link int
 
 // The kinds of links.
@@ -21,7 +21,7 @@
 	WithinDomain Link = iota
 	AcrossDomains
 	AcrossRegions
-	links
+	linkCount
 )
 
 // String returns the link as a metric label.
@@ -29,38 +29,39 @@
 	return [...]string{"withinDomain", "acrossDomains", "acrossRegions"}[link]
 }
 
-// datagramHeaders is the size of the IPv4 and UDP headers of a packet.
+// datagramHeaders is the size in bytes of the IPv4 and UDP headers of a packet.
 const datagramHeaders = 28
 
-// Traffic counts packets and bytes sent and received by link.
+// Traffic counts bytes sent, bytes received and packets sent by link, and messages sent
+// by kind.
 type Traffic struct {
-	Sent, Received, Packets [links]atomic.Uint64
-	messages, payload       [kindsEnd]atomic.Uint64
+	Sent, Received, Packets [linkCount]atomic.Uint64
+	messages, messageBytes  [kindsEnd]atomic.Uint64
 }
 
-// SentKind is the number of messages of a kind and of their bytes without headers.
+// SentKind is the number of messages sent of one kind and their size without headers.
 type SentKind struct{ Messages, Bytes uint64 }
 
-// Kinds returns what was sent of each kind of message.
+// Kinds returns the messages sent, by the metric label of their kind.
 func (traffic *Traffic) Kinds() map[string]SentKind {
 	kinds := make(map[string]SentKind, len(kindNames))
 	for kind, name := range kindNames {
-		kinds[name] = SentKind{traffic.messages[kind].Load(), traffic.payload[kind].Load()}
+		kinds[name] = SentKind{traffic.messages[kind].Load(), traffic.messageBytes[kind].Load()}
 	}
 	return kinds
 }
 
-// Locator tells where a VM stands relative to this daemon.
+// Locator resolves the address of a VM and the link to it.
 type Locator interface {
-	// PeerAddress returns the UDP address of a VM, or "".
+	// PeerAddress returns the UDP address of a VM, or "" if it is unknown.
 	PeerAddress(vm berylspoke.VMID) string
 	// Link returns the kind of link to a VM.
 	Link(vm berylspoke.VMID) Link
 }
 
-// countedSocket hides the socket's batch interfaces, so that each packet passes
-// the counters once.
-type countedSocket struct {
+// countingSocket counts the packets of a UDP socket. It hides the socket's batch
+// methods, so that quic-go passes each packet through WriteTo or ReadFrom once.
+type countingSocket struct {
 	net.PacketConn
 	udp     *net.UDPConn
 	traffic *Traffic
@@ -68,26 +69,26 @@
 	links   map[string]Link
 }
 
-func (socket *countedSocket) setLink(address net.Addr, link Link) {
+func (socket *countingSocket) setLink(address net.Addr, link Link) {
 	socket.mutex.Lock()
 	socket.links[address.String()] = link
 	socket.mutex.Unlock()
 }
 
-func (socket *countedSocket) copyLinks() map[string]Link {
+func (socket *countingSocket) copyLinks() map[string]Link {
 	socket.mutex.RLock()
 	defer socket.mutex.RUnlock()
 	return maps.Clone(socket.links)
 }
 
-func (socket *countedSocket) link(address net.Addr) Link {
+func (socket *countingSocket) link(address net.Addr) Link {
 	socket.mutex.RLock()
 	defer socket.mutex.RUnlock()
 	return socket.links[address.String()]
 }
 
 // WriteTo implements net.PacketConn.
-func (socket *countedSocket) WriteTo(packet []byte, address net.Addr) (int, error) {
+func (socket *countingSocket) WriteTo(packet []byte, address net.Addr) (int, error) {
 	link := socket.link(address)
 	socket.traffic.Sent[link].Add(uint64(len(packet) + datagramHeaders))
 	socket.traffic.Packets[link].Add(1)
@@ -95,7 +96,7 @@
 }
 
 // ReadFrom implements net.PacketConn.
-func (socket *countedSocket) ReadFrom(buffer []byte) (int, net.Addr, error) {
+func (socket *countingSocket) ReadFrom(buffer []byte) (int, net.Addr, error) {
 	size, address, err := socket.PacketConn.ReadFrom(buffer)
 	if err == nil {
 		socket.traffic.Received[socket.link(address)].Add(uint64(size + datagramHeaders))
@@ -103,12 +104,12 @@
 	return size, address, err
 }
 
-// SetReadBuffer sizes the socket's receive buffer, as QUIC asks for.
-func (socket *countedSocket) SetReadBuffer(bytes int) error {
-	return errors.Wrap(socket.udp.SetReadBuffer(bytes), "receive buffer")
+// SetReadBuffer sets the size of the socket's receive buffer; quic-go calls it.
+func (socket *countingSocket) SetReadBuffer(bytes int) error {
+	return errors.Wrap(socket.udp.SetReadBuffer(bytes), "receive buffer cannot be sized")
 }
 
-// SetWriteBuffer sizes the socket's send buffer, as QUIC asks for.
-func (socket *countedSocket) SetWriteBuffer(bytes int) error {
-	return errors.Wrap(socket.udp.SetWriteBuffer(bytes), "send buffer")
+// SetWriteBuffer sets the size of the socket's send buffer; quic-go calls it.
+func (socket *countingSocket) SetWriteBuffer(bytes int) error {
+	return errors.Wrap(socket.udp.SetWriteBuffer(bytes), "send buffer cannot be sized")
 }
--- a/io/berylpeer/peer_test.go
+++ b/io/berylpeer/peer_test.go
@@ -70,7 +70,7 @@
 	}
 }
 
-func TestMessagesSurviveTheWire(t *testing.T) {
+func TestMessagesRoundTrip(t *testing.T) {
 	var packet []byte
 	for _, message := range sampleMessages() {
 		body, err := encode(message)
@@ -80,18 +80,18 @@
 	decoded, err := decode("kgn-a-1", packet)
 	require.NoError(t, err)
 	require.Equal(t, sampleMessages(), decoded)
-	require.Len(t, decoded, len(wireKinds), "a kind of message is missing here")
+	require.Len(t, decoded, len(newWireMessage), "sampleMessages lacks a kind of message")
 }
 
-// FuzzDecode feeds garbage, cut and altered packets; whatever still decodes must
-// encode and decode again to the same.
+// FuzzDecode decodes truncated and altered packets. Whatever still decodes must
+// encode and decode again to the same message.
 func FuzzDecode(f *testing.F) {
 	for _, message := range sampleMessages() {
 		body, _ := encode(message)
 		f.Add(body)
 		f.Add(body[:len(body)/2])
 	}
-	f.Add([]byte{byte(kindAsk), 0x9f, 0xff})
+	f.Add([]byte{byte(kindDemand), 0x9f, 0xff})
 	f.Add([]byte{200, 1, 2, 3})
 	f.Fuzz(func(t *testing.T, packet []byte) {
 		messages, _ := decode("vm", packet)
@@ -105,13 +105,13 @@
 	})
 }
 
-// place locates VMs for the transports of a test.
-type place map[berylspoke.VMID]string
+// locations maps VMs to addresses; it implements Locator.
+type locations map[berylspoke.VMID]string
 
-func (place place) PeerAddress(vm berylspoke.VMID) string { return place[vm] }
-func (place place) Link(berylspoke.VMID) Link             { return AcrossDomains }
+func (locator locations) PeerAddress(vm berylspoke.VMID) string { return locator[vm] }
+func (locator locations) Link(berylspoke.VMID) Link             { return AcrossDomains }
 
-// inbox collects what one transport received.
+// inbox collects the messages that one transport received.
 type inbox struct {
 	mutex    sync.Mutex
 	received []berylspoke.Message
@@ -123,7 +123,7 @@
 	inbox.received = append(inbox.received, messages...)
 }
 
-func (inbox *inbox) holds(message berylspoke.Message) bool {
+func (inbox *inbox) contains(message berylspoke.Message) bool {
 	inbox.mutex.Lock()
 	defer inbox.mutex.Unlock()
 	for _, item := range inbox.received {
@@ -134,7 +134,7 @@
 	return false
 }
 
-// freeAddress returns a UDP address that nobody uses.
+// freeAddress returns an unused UDP address.
 func freeAddress(t *testing.T, host string) string {
 	t.Helper()
 	conn, err := net.ListenPacket("udp", host+":0")
@@ -143,11 +143,11 @@
 	return conn.LocalAddr().String()
 }
 
-func listen(t *testing.T, vm berylspoke.VMID, address, key string, place place) (*Transport, *inbox) {
+func listen(t *testing.T, vm berylspoke.VMID, address, key string, locator locations) (*Transport, *inbox) {
 	t.Helper()
 	inbox := new(inbox)
 	transport, err := Listen(Options{
-		VM: vm, Address: address, Keys: [][]byte{[]byte(key)}, Locator: place, Handler: inbox.handle, Log: zap.NewNop(),
+		VM: vm, Address: address, Keys: [][]byte{[]byte(key)}, Locator: locator, Handler: inbox.handle, Log: zap.NewNop(),
 	})
 	require.NoError(t, err)
 	t.Cleanup(transport.Close)
@@ -155,39 +155,39 @@
 }
 
 const (
-	fleetKey = "a fleet key of enough bytes"
-	patience = 60 * time.Second
+	fleetKey    = "a fleet key of enough bytes"
+	testTimeout = 60 * time.Second
 )
 
-// Something between two daemons loses track of their flow: what either sends
-// between the two ports is swallowed for good, while other ports work. The
-// messages must flow again without anyone's help.
+// Guards against two daemons that stay disconnected after a middlebox lost its state
+// for their flow: it drops all packets between the two ports for good, while other
+// ports work. Messages must arrive again without intervention.
 func TestSilentConnectionIsReplaced(t *testing.T) {
 	left, right, front := freeAddress(t, "127.8.0.1"), freeAddress(t, "127.8.0.2"), freeAddress(t, "127.8.0.3")
 	relay, err := berylstand.NewPacketRelay(front, right, func(string, string) bool { return true })
 	require.NoError(t, err)
 	defer relay.Close()
-	place := place{"left": left, "right": front}
-	sender, _ := listen(t, "left", left, fleetKey, place)
-	_, inbox := listen(t, "right", right, fleetKey, place)
+	locator := locations{"left": left, "right": front}
+	sender, _ := listen(t, "left", left, fleetKey, locator)
+	_, inbox := listen(t, "right", right, fleetKey, locator)
 	number := berylspoke.EntryNumber(0)
 	arrives := func() bool {
 		number++
 		sender.Send("right", berylconfig.PullRequest{After: number})
 		time.Sleep(50 * time.Millisecond)
-		return inbox.holds(berylconfig.PullRequest{After: number})
+		return inbox.contains(berylconfig.PullRequest{After: number})
 	}
-	require.Eventually(t, arrives, patience, 10*time.Millisecond)
+	require.Eventually(t, arrives, testTimeout, 10*time.Millisecond)
 	require.Positive(t, relay.Forget())
-	require.Eventually(t, arrives, patience, 10*time.Millisecond, "messages flow again")
+	require.Eventually(t, arrives, testTimeout, 10*time.Millisecond, "messages arrive again")
 }
 
-// A process that holds another fleet's key must get no word in.
+// A process that holds another fleet's key must not connect or deliver a message.
 func TestForeignKeyIsRefused(t *testing.T) {
 	left, right := freeAddress(t, "127.8.0.1"), freeAddress(t, "127.8.0.2")
-	place := place{"left": left, "right": right}
-	stranger, _ := listen(t, "left", left, "another fleet's key, as long", place)
-	receiver, inbox := listen(t, "right", right, fleetKey, place)
+	locator := locations{"left": left, "right": right}
+	stranger, _ := listen(t, "left", left, "another fleet's key, as long", locator)
+	receiver, inbox := listen(t, "right", right, fleetKey, locator)
 	for range 5 {
 		stranger.Send("right", berylconfig.PullRequest{After: 1})
 		time.Sleep(100 * time.Millisecond)
@@ -196,25 +196,25 @@
 	require.Zero(t, receiver.Connections())
 }
 
-// A message larger than a packet, such as a snapshot, arrives whole.
+// A message larger than a datagram, such as a snapshot, must arrive whole on a stream.
 func TestLargeMessageArrives(t *testing.T) {
 	left, right := freeAddress(t, "127.8.0.1"), freeAddress(t, "127.8.0.2")
-	place := place{"left": left, "right": right}
-	sender, _ := listen(t, "left", left, fleetKey, place)
-	_, inbox := listen(t, "right", right, fleetKey, place)
+	locator := locations{"left": left, "right": right}
+	sender, _ := listen(t, "left", left, fleetKey, locator)
+	_, inbox := listen(t, "right", right, fleetKey, locator)
 	large := berylconfig.PullAnswer{Number: 1, Snapshot: make([]byte, 3<<20)}
 	require.Eventually(t, func() bool {
 		sender.Send("right", large)
 		time.Sleep(200 * time.Millisecond)
-		return inbox.holds(large)
-	}, patience, 10*time.Millisecond)
+		return inbox.contains(large)
+	}, testTimeout, 10*time.Millisecond)
 }
 
-func BenchmarkEncodeAsk(b *testing.B) {
-	ask := sampleMessages()[3]
+func BenchmarkEncodeDemand(b *testing.B) {
+	demand := sampleMessages()[3]
 	b.ReportAllocs()
 	for range b.N {
-		body, _ := encode(ask)
+		body, _ := encode(demand)
 		b.SetBytes(int64(len(body)))
 	}
 }
@@ -222,9 +222,9 @@
 func BenchmarkDecodeHeartbeat(b *testing.B) {
 	for _, count := range []int{0, 16} {
 		b.Run(fmt.Sprintf("rumours=%d", count), func(b *testing.B) {
-			beat := sampleMessages()[0].(berylmember.Heartbeat)
-			beat.Rumours = make([]berylmember.Rumour, count)
-			body, _ := encode(beat)
+			heartbeat := sampleMessages()[0].(berylmember.Heartbeat)
+			heartbeat.Rumours = make([]berylmember.Rumour, count)
+			body, _ := encode(heartbeat)
 			b.ReportAllocs()
 			for range b.N {
 				_, _ = decode("vm", body)
--- a/io/berylpeer/transport.go
+++ b/io/berylpeer/transport.go
@@ -1,6 +1,6 @@
 package berylpeer
 
-// This file defines the transport that keeps a connection to each peer in use.
+// This file defines the transport and its connections to peers.
 
 import (
 	"context"
@@ -18,33 +18,34 @@
 )
 
 const (
-	// idleTimeout closes connections that no role uses any more.
+	// idleTimeout closes connections that carry no messages any more.
 	idleTimeout = 20 * time.Second
-	// handshakeTimeout bounds the wait for a peer that does not answer.
+	// handshakeTimeout bounds the wait for a peer that does not respond.
 	handshakeTimeout = time.Second
-	// silenceCheck is the time between two looks for silent connections.
-	silenceCheck = 300 * time.Millisecond
-	// silentAfter is the time after which sent packets without any packet in
-	// return make a connection suspect.
-	silentAfter = 1200 * time.Millisecond
-	// datagramBytes keeps messages within one packet on every path.
-	datagramBytes = 1100
-	// streamBytes bounds a message that comes as a stream.
-	streamBytes = 8 << 20
-	// queueLength bounds the packets that wait for a peer's connection.
-	queueLength = 256
-	// redialAfter is the time after a first failed attempt to reach a peer; it
-	// doubles up to redialMost. An attempt costs several packets of 1,200 bytes.
-	redialAfter = 250 * time.Millisecond
-	redialMost  = 8 * time.Second
-	// writeTimeout bounds the wait for a stream to a peer.
-	writeTimeout = 2 * time.Second
+	// silenceCheckInterval is the interval between checks for silent connections.
+	silenceCheckInterval = 300 * time.Millisecond
+	// silenceTimeout is how long a connection may send packets without receiving any
+	// before it is closed.
+	silenceTimeout = 1200 * time.Millisecond
+	// maxDatagramBytes bounds a datagram so that it fits one packet on every path.
+	maxDatagramBytes = 1100
+	// maxStreamBytes bounds a packet received on a stream.
+	maxStreamBytes = 8 << 20
+	// sendQueueLength bounds the packets that wait for the connection to a peer.
+	sendQueueLength = 256
+	// minRedialDelay is the delay after a first failed attempt to reach a peer; it
+	// doubles with each further one, up to maxRedialDelay. An attempt costs several
+	// packets of 1,200 bytes.
+	minRedialDelay = 250 * time.Millisecond
+	maxRedialDelay = 8 * time.Second
+	// openStreamTimeout bounds the wait to open a stream to a peer.
+	openStreamTimeout = 2 * time.Second
 )
 
-// Handler takes the messages of a peer.
+// Handler processes messages received from a peer.
 type Handler func(from berylspoke.VMID, messages []berylspoke.Message)
 
-// Options are the settings of a transport.
+// Options configures a transport.
 type Options struct {
 	VM      berylspoke.VMID
 	Address string
@@ -57,7 +58,7 @@
 // Transport implements berylspoke.Peers over QUIC.
 type Transport struct {
 	options Options
-	socket  *countedSocket
+	socket  *countingSocket
 	quic    *quic.Transport
 	tls     *tls.Config
 	config  *quic.Config
@@ -70,29 +71,29 @@
 
 var _ berylspoke.Peers = (*Transport)(nil)
 
-// peer is the queue and the present connection to one VM.
+// peer is the send queue and the current connection of one VM.
 type peer struct {
 	vm    berylspoke.VMID
 	queue chan []byte
 	conn  *quic.Conn
-	// sent and received are the connection's packet counts when it was last
-	// seen to hear from the peer.
-	sent, received uint64
-	quietSince     time.Time
-	// silenced is set when the last connection went silent; the next one is
-	// dialled from another port.
-	silenced bool
-	// failures counts the attempts that failed in a row, redial is when the
-	// next one may be made.
+	// packetsSent and packetsReceived are the connection's packet counts at
+	// silentSince, the last check that found a packet received or none sent.
+	packetsSent, packetsReceived uint64
+	silentSince                  time.Time
+	// wasSilent is set once a connection went silent; from then on each dial uses a
+	// new local port.
+	wasSilent bool
+	// failures counts consecutive failed dials; nextDial is the earliest time of
+	// the next one.
 	failures int
-	redial   time.Time
+	nextDial time.Time
 }
 
 // Listen opens the transport's socket and accepts peers until Close.
 func Listen(options Options) (*Transport, error) {
 	address, err := net.ResolveUDPAddr("udp", options.Address)
 	if err != nil {
-		return nil, errors.Wrapf(err, "peer address %q", options.Address)
+		return nil, errors.Wrapf(err, "peer address %q cannot be resolved", options.Address)
 	}
 	udp, err := net.ListenUDP("udp", address)
 	if err != nil {
@@ -115,27 +116,27 @@
 		},
 	}
 	transport.ctx, transport.stop = context.WithCancel(context.Background())
-	transport.socket = &countedSocket{PacketConn: udp, udp: udp, traffic: &transport.traffic, links: make(map[string]Link)}
-	resetKey, err := derive(options.Keys[0], "reset "+string(options.VM), 32)
+	transport.socket = &countingSocket{PacketConn: udp, udp: udp, traffic: &transport.traffic, links: make(map[string]Link)}
+	resetKey, err := deriveKey(options.Keys[0], "reset "+string(options.VM), 32)
 	if err != nil {
 		return nil, err
 	}
-	// A restarted daemon has the same reset key, so peers learn at once that
-	// their old connections to it are gone.
+	// A restarted daemon has the same stateless reset key, so peers detect at once
+	// that their old connections to it are gone.
 	transport.quic = &quic.Transport{Conn: transport.socket, StatelessResetKey: (*quic.StatelessResetKey)(resetKey)}
 	listener, err := transport.quic.Listen(tlsConfig, transport.config)
 	if err != nil {
 		return nil, errors.Wrap(err, "peer listener cannot be opened")
 	}
-	go transport.accept(listener)
-	go transport.watchSilence()
+	go transport.acceptLoop(listener)
+	go transport.closeSilentLoop()
 	return transport, nil
 }
 
 // Traffic returns the byte counters.
 func (transport *Transport) Traffic() *Traffic { return &transport.traffic }
 
-// Relink asks the locator anew which links the open connections cross.
+// Relink refreshes the links of the open connections from the locator.
 func (transport *Transport) Relink() {
 	transport.mutex.Lock()
 	defer transport.mutex.Unlock()
@@ -146,7 +147,7 @@
 	}
 }
 
-// Close ends all connections.
+// Close closes the socket and all connections.
 func (transport *Transport) Close() {
 	transport.stop()
 	_ = transport.quic.Close()
@@ -164,12 +165,12 @@
 	for _, message := range messages {
 		body, err := encode(message)
 		if err != nil {
-			transport.options.Log.Error("message dropped", zap.Error(err))
+			transport.options.Log.Error("message cannot be sent and is dropped", zap.Error(err))
 			continue
 		}
 		transport.traffic.messages[body[0]].Add(1)
-		transport.traffic.payload[body[0]].Add(uint64(len(body)))
-		if len(packet) > 0 && len(packet)+len(body) > datagramBytes {
+		transport.traffic.messageBytes[body[0]].Add(uint64(len(body)))
+		if len(packet) > 0 && len(packet)+len(body) > maxDatagramBytes {
 			transport.enqueue(to, packet)
 			packet = nil
 		}
@@ -180,8 +181,8 @@
 	}
 }
 
-// enqueue hands a packet to the peer's sender. A full queue means that the peer
-// is out of reach; the packet is dropped, as the network would.
+// enqueue queues a packet for a peer. A full queue means that the peer is
+// unreachable; the packet is dropped, since delivery is not guaranteed.
 func (transport *Transport) enqueue(to berylspoke.VMID, packet []byte) {
 	transport.mutex.Lock()
 	found := transport.peer(to)
@@ -192,11 +193,11 @@
 	}
 }
 
-// peer finds or makes a peer; the caller holds the mutex.
+// peer returns the peer of a VM, adding it if needed; the caller holds the mutex.
 func (transport *Transport) peer(vm berylspoke.VMID) *peer {
 	found := transport.peers[vm]
 	if found == nil {
-		found = &peer{vm: vm, queue: make(chan []byte, queueLength)}
+		found = &peer{vm: vm, queue: make(chan []byte, sendQueueLength)}
 		transport.peers[vm] = found
 		go transport.sendLoop(found)
 	}
@@ -211,7 +212,7 @@
 		case packet := <-peer.queue:
 			conn := transport.connection(peer)
 			if conn == nil {
-				continue // out of reach: the packet is lost, as on a network
+				continue // peer unreachable: the packet is dropped
 			}
 			transport.write(conn, packet)
 		}
@@ -219,12 +220,12 @@
 }
 
 func (transport *Transport) write(conn *quic.Conn, packet []byte) {
-	if len(packet) <= datagramBytes {
+	if len(packet) <= maxDatagramBytes {
 		if err := conn.SendDatagram(packet); err == nil {
 			return
 		}
 	}
-	ctx, cancel := context.WithTimeout(transport.ctx, writeTimeout)
+	ctx, cancel := context.WithTimeout(transport.ctx, openStreamTimeout)
 	defer cancel()
 	stream, err := conn.OpenUniStreamSync(ctx)
 	if err != nil {
@@ -235,15 +236,16 @@
 	_ = stream.Close()
 }
 
-// connection returns the open connection to a peer or dials one.
+// connection returns the open connection to a peer, dialling one if there is none. It
+// returns nil if the peer cannot be reached or may not be dialled yet.
 func (transport *Transport) connection(peer *peer) *quic.Conn {
 	transport.mutex.Lock()
-	conn, silenced := peer.conn, peer.silenced
+	conn, newPort := peer.conn, peer.wasSilent
 	transport.mutex.Unlock()
 	if conn != nil && conn.Context().Err() == nil {
 		return conn
 	}
-	if time.Now().Before(peer.redial) {
+	if time.Now().Before(peer.nextDial) {
 		return nil
 	}
 	text := transport.options.Locator.PeerAddress(peer.vm)
@@ -254,40 +256,40 @@
 	transport.socket.setLink(address, transport.options.Locator.Link(peer.vm))
 	ctx, cancel := context.WithTimeout(transport.ctx, handshakeTimeout)
 	defer cancel()
-	settings := transport.tls.Clone()
-	settings.ServerName = string(peer.vm)
-	conn, err = transport.dial(ctx, address, settings, silenced)
+	tlsConfig := transport.tls.Clone()
+	tlsConfig.ServerName = string(peer.vm)
+	conn, err = transport.dial(ctx, address, tlsConfig, newPort)
 	if err != nil {
-		peer.redial = time.Now().Add(min(redialAfter<<min(peer.failures, 8), redialMost))
+		peer.nextDial = time.Now().Add(min(minRedialDelay<<min(peer.failures, 8), maxRedialDelay))
 		peer.failures++
-		transport.options.Log.Debug("peer not reached", zap.String("peer", string(peer.vm)), zap.Error(err))
+		transport.options.Log.Debug("dial to peer failed", zap.String("peer", string(peer.vm)), zap.Error(err))
 		return nil
 	}
-	if name := peerName(conn); name != peer.vm {
-		// The address of a replaced VM now belongs to another one.
+	if name := certifiedVM(conn); name != peer.vm {
+		// The VM was replaced, and its address belongs to another one now.
 		_ = conn.CloseWithError(0, "another VM")
 		return nil
 	}
 	peer.failures = 0
-	transport.adopt(peer.vm, conn)
+	transport.setConnection(peer.vm, conn)
 	return conn
 }
 
-// dial opens a connection from the shared port, or from a port of its own after
-// a silence: what lost track of the flow between two ports would swallow the
-// packets of a new connection between them too.
-func (transport *Transport) dial(ctx context.Context, address net.Addr, settings *tls.Config, silenced bool) (*quic.Conn, error) {
-	if !silenced {
-		return transport.quic.Dial(ctx, address, settings, transport.config)
+// dial opens a connection from the shared port, or from a new port if an earlier
+// connection went silent. A middlebox that lost its state for the flow between two
+// ports would drop the packets of a new connection between the same ports too.
+func (transport *Transport) dial(ctx context.Context, address net.Addr, tlsConfig *tls.Config, newPort bool) (*quic.Conn, error) {
+	if !newPort {
+		return transport.quic.Dial(ctx, address, tlsConfig, transport.config)
 	}
 	local := transport.socket.udp.LocalAddr().(*net.UDPAddr)
 	udp, err := net.ListenUDP("udp", &net.UDPAddr{IP: local.IP})
 	if err != nil {
-		return nil, errors.Wrap(err, "port after a silence")
+		return nil, errors.Wrap(err, "socket on a new port cannot be opened")
 	}
-	socket := &countedSocket{PacketConn: udp, udp: udp, traffic: &transport.traffic, links: transport.socket.copyLinks()}
+	socket := &countingSocket{PacketConn: udp, udp: udp, traffic: &transport.traffic, links: transport.socket.copyLinks()}
 	own := &quic.Transport{Conn: socket}
-	conn, err := own.Dial(ctx, address, settings, transport.config)
+	conn, err := own.Dial(ctx, address, tlsConfig, transport.config)
 	if err != nil {
 		_ = own.Close()
 		_ = socket.Close()
@@ -300,7 +302,7 @@
 	return conn, nil
 }
 
-func peerName(conn *quic.Conn) berylspoke.VMID {
+func certifiedVM(conn *quic.Conn) berylspoke.VMID {
 	certificates := conn.ConnectionState().TLS.PeerCertificates
 	if len(certificates) == 0 {
 		return ""
@@ -308,26 +310,27 @@
 	return berylspoke.VMID(certificates[0].Subject.CommonName)
 }
 
-// adopt makes a connection the one used to its peer and reads from it.
-func (transport *Transport) adopt(vm berylspoke.VMID, conn *quic.Conn) {
+// setConnection makes a connection the current one of its peer and starts reading
+// from it.
+func (transport *Transport) setConnection(vm berylspoke.VMID, conn *quic.Conn) {
 	transport.mutex.Lock()
 	found := transport.peer(vm)
 	found.conn = conn
-	found.sent, found.received, found.quietSince = 0, 0, time.Now()
+	found.packetsSent, found.packetsReceived, found.silentSince = 0, 0, time.Now()
 	transport.mutex.Unlock()
 	go transport.readDatagrams(vm, conn)
 	go transport.readStreams(vm, conn)
 }
 
-func (transport *Transport) accept(listener *quic.Listener) {
+func (transport *Transport) acceptLoop(listener *quic.Listener) {
 	for {
 		conn, err := listener.Accept(transport.ctx)
 		if err != nil {
 			return
 		}
-		vm := peerName(conn)
+		vm := certifiedVM(conn)
 		transport.socket.setLink(conn.RemoteAddr(), transport.options.Locator.Link(vm))
-		transport.adopt(vm, conn)
+		transport.setConnection(vm, conn)
 	}
 }
 
@@ -348,8 +351,8 @@
 			return
 		}
 		_ = stream.SetReadDeadline(time.Now().Add(idleTimeout))
-		packet, err := io.ReadAll(io.LimitReader(stream, streamBytes+1))
-		if err != nil || len(packet) > streamBytes {
+		packet, err := io.ReadAll(io.LimitReader(stream, maxStreamBytes+1))
+		if err != nil || len(packet) > maxStreamBytes {
 			stream.CancelRead(0)
 			continue
 		}
@@ -360,33 +363,33 @@
 func (transport *Transport) deliver(vm berylspoke.VMID, packet []byte) {
 	messages, err := decode(vm, packet)
 	if err != nil {
-		transport.options.Log.Warn("message refused", zap.String("peer", string(vm)), zap.Error(err))
+		transport.options.Log.Warn("packet cannot be decoded; remaining messages dropped", zap.String("peer", string(vm)), zap.Error(err))
 	}
 	if len(messages) > 0 {
 		transport.options.Handler(vm, messages)
 	}
 }
 
-// watchSilence closes connections that something between the two ends forgot.
-// Such a connection takes packets without an error, and a new one to the same
-// peer works. QUIC acknowledges what it receives, so packets sent without any
-// in return for a while show it; the next message dials anew.
-func (transport *Transport) watchSilence() {
-	ticker := time.NewTicker(silenceCheck)
+// closeSilentLoop closes connections whose flow a middlebox no longer forwards.
+// Sending on such a connection reports no error, while a new connection to the same
+// peer works. QUIC acknowledges what it receives, so the sign of it is that packets
+// are sent for a while and none is received; the next message dials again.
+func (transport *Transport) closeSilentLoop() {
+	ticker := time.NewTicker(silenceCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-transport.ctx.Done():
 			return
 		case now := <-ticker.C:
-			for _, conn := range transport.silent(now) {
+			for _, conn := range transport.detachSilent(now) {
 				_ = conn.CloseWithError(0, "silent")
 			}
 		}
 	}
 }
 
-func (transport *Transport) silent(now time.Time) []*quic.Conn {
+func (transport *Transport) detachSilent(now time.Time) []*quic.Conn {
 	transport.mutex.Lock()
 	defer transport.mutex.Unlock()
 	var silent []*quic.Conn
@@ -395,13 +398,13 @@
 			continue
 		}
 		stats := peer.conn.ConnectionStats()
-		if stats.PacketsReceived != peer.received || stats.PacketsSent == peer.sent {
-			peer.sent, peer.received, peer.quietSince = stats.PacketsSent, stats.PacketsReceived, now
+		if stats.PacketsReceived != peer.packetsReceived || stats.PacketsSent == peer.packetsSent {
+			peer.packetsSent, peer.packetsReceived, peer.silentSince = stats.PacketsSent, stats.PacketsReceived, now
 			continue
 		}
-		if now.Sub(peer.quietSince) > silentAfter {
+		if now.Sub(peer.silentSince) > silenceTimeout {
 			silent = append(silent, peer.conn)
-			peer.conn, peer.silenced = nil, true
+			peer.conn, peer.wasSilent = nil, true
 		}
 	}
 	return silent
--- a/io/berylpeer/wire.go
+++ b/io/berylpeer/wire.go
@@ -1,6 +1,6 @@
 package berylpeer
 
-// This file defines the wire forms of the messages.
+// This file defines the encoded forms of the messages and their conversions.
 
 import (
 	"time"
@@ -50,25 +50,25 @@
 }
 
 type wireHeartbeat struct {
-	_       struct{} `cbor:",toarray"`
-	Self    wireRumour
-	Number  uint64
-	Serving bool
-	Sync    bool
-	Digest  uint64
-	Rumours []wireRumour
+	_            struct{} `cbor:",toarray"`
+	Self         wireRumour
+	ConfigNumber uint64
+	Serving      bool
+	Sync         bool
+	Digest       uint64
+	Rumours      []wireRumour
 }
 
 func (wire *wireHeartbeat) message(from berylspoke.VMID) berylspoke.Message {
-	beat := berylmember.Heartbeat{
-		Self: wire.Self.rumour(), Number: berylspoke.EntryNumber(wire.Number),
+	heartbeat := berylmember.Heartbeat{
+		Self: wire.Self.rumour(), Number: berylspoke.EntryNumber(wire.ConfigNumber),
 		Serving: wire.Serving, Sync: wire.Sync, Digest: wire.Digest,
 	}
-	beat.Self.Process.VM = from
+	heartbeat.Self.Process.VM = from
 	for _, rumour := range wire.Rumours {
-		beat.Rumours = append(beat.Rumours, rumour.rumour())
+		heartbeat.Rumours = append(heartbeat.Rumours, rumour.rumour())
 	}
-	return beat
+	return heartbeat
 }
 
 type wirePullRequest struct {
@@ -106,62 +106,63 @@
 	return answer
 }
 
-type wireHold struct {
-	_          struct{} `cbor:",toarray"`
-	Target     string
-	Held, Used int
-	PaceMicros int64
+type wireHolding struct {
+	_                   struct{} `cbor:",toarray"`
+	Target              string
+	Held, Used          int
+	TokenIntervalMicros int64
 }
 
-type wireAsk struct {
-	_                 struct{} `cbor:",toarray"`
-	Incarnation       uint64
-	Service           string
-	Sequence, Applied uint32
-	Waiting           int
-	Time, Started     int64
-	// Tags are differences, each to the one before and the first to Time.
-	Tags  []int64
-	Holds []wireHold
+type wireDemand struct {
+	_                       struct{} `cbor:",toarray"`
+	Incarnation             uint64
+	Service                 string
+	Sequence, Applied       uint32
+	Waiting                 int
+	VirtualTime, MaxStarted int64
+	// MaxStarted is a difference to VirtualTime. Tags are differences too, each to the
+	// one before and the first to VirtualTime.
+	Tags     []int64
+	Holdings []wireHolding
 }
 
-func askToWire(ask berylslot.Ask) *wireAsk {
-	wire := &wireAsk{
-		Incarnation: uint64(ask.From.Incarnation), Service: string(ask.Service),
-		Sequence: ask.Sequence, Applied: ask.Applied, Waiting: ask.Waiting,
-		Time: int64(ask.Time), Started: int64(ask.Started - ask.Time),
+func demandToWire(demand berylslot.Ask) *wireDemand {
+	wire := &wireDemand{
+		Incarnation: uint64(demand.From.Incarnation), Service: string(demand.Service),
+		Sequence: demand.Sequence, Applied: demand.Applied, Waiting: demand.Waiting,
+		VirtualTime: int64(demand.Time), MaxStarted: int64(demand.Started - demand.Time),
 	}
-	last := ask.Time
-	for _, tag := range ask.Tags {
+	last := demand.Time
+	for _, tag := range demand.Tags {
 		wire.Tags = append(wire.Tags, int64(tag-last))
 		last = tag
 	}
-	for _, hold := range ask.Holds {
-		wire.Holds = append(wire.Holds, wireHold{
-			Target: string(hold.Target), Held: hold.Held, Used: hold.Used, PaceMicros: hold.Pace.Microseconds(),
+	for _, hold := range demand.Holds {
+		wire.Holdings = append(wire.Holdings, wireHolding{
+			Target: string(hold.Target), Held: hold.Held, Used: hold.Used, TokenIntervalMicros: hold.Pace.Microseconds(),
 		})
 	}
 	return wire
 }
 
-func (wire *wireAsk) message(from berylspoke.VMID) berylspoke.Message {
-	ask := berylslot.Ask{
+func (wire *wireDemand) message(from berylspoke.VMID) berylspoke.Message {
+	demand := berylslot.Ask{
 		From: process(from, wire.Incarnation), Service: berylspoke.ServiceID(wire.Service),
 		Sequence: wire.Sequence, Applied: wire.Applied, Waiting: max(wire.Waiting, 0),
-		Time: berylspoke.Tag(wire.Time), Started: berylspoke.Tag(wire.Time + wire.Started),
+		Time: berylspoke.Tag(wire.VirtualTime), Started: berylspoke.Tag(wire.VirtualTime + wire.MaxStarted),
 	}
-	last := ask.Time
+	last := demand.Time
 	for _, difference := range wire.Tags {
 		last += berylspoke.Tag(difference)
-		ask.Tags = append(ask.Tags, last)
+		demand.Tags = append(demand.Tags, last)
 	}
-	for _, hold := range wire.Holds {
-		ask.Holds = append(ask.Holds, berylslot.Hold{
+	for _, hold := range wire.Holdings {
+		demand.Holds = append(demand.Holds, berylslot.Hold{
 			Target: berylspoke.TargetID(hold.Target), Held: max(hold.Held, 0), Used: max(hold.Used, 0),
-			Pace: time.Duration(hold.PaceMicros) * time.Microsecond,
+			Pace: time.Duration(hold.TokenIntervalMicros) * time.Microsecond,
 		})
 	}
-	return ask
+	return demand
 }
 
 type wireGrant struct {
@@ -171,20 +172,20 @@
 }
 
 type wireLease struct {
-	_                 struct{} `cbor:",toarray"`
-	Incarnation       uint64
-	Service           string
-	Sequence, Answers uint32
-	Contended         bool
-	Threshold, Time   int64
-	Grants            []wireGrant
+	_                      struct{} `cbor:",toarray"`
+	Incarnation            uint64
+	Service                string
+	Sequence, Acknowledged uint32
+	Contended              bool
+	Threshold, VirtualTime int64
+	Grants                 []wireGrant
 }
 
 func leaseToWire(lease berylslot.Lease) *wireLease {
 	wire := &wireLease{
 		Incarnation: uint64(lease.From.Incarnation), Service: string(lease.Service),
-		Sequence: lease.Sequence, Answers: lease.Answers, Contended: lease.Contended,
-		Threshold: int64(lease.Threshold), Time: int64(lease.Time),
+		Sequence: lease.Sequence, Acknowledged: lease.Answers, Contended: lease.Contended,
+		Threshold: int64(lease.Threshold), VirtualTime: int64(lease.Time),
 	}
 	for _, grant := range lease.Grants {
 		wire.Grants = append(wire.Grants, wireGrant{Target: string(grant.Target), Slots: grant.Slots})
@@ -195,8 +196,8 @@
 func (wire *wireLease) message(from berylspoke.VMID) berylspoke.Message {
 	lease := berylslot.Lease{
 		From: process(from, wire.Incarnation), Service: berylspoke.ServiceID(wire.Service),
-		Sequence: wire.Sequence, Answers: wire.Answers, Contended: wire.Contended,
-		Threshold: berylspoke.Tag(wire.Threshold), Time: berylspoke.Tag(wire.Time),
+		Sequence: wire.Sequence, Answers: wire.Acknowledged, Contended: wire.Contended,
+		Threshold: berylspoke.Tag(wire.Threshold), Time: berylspoke.Tag(wire.VirtualTime),
 	}
 	for _, grant := range wire.Grants {
 		lease.Grants = append(lease.Grants, berylslot.Grant{Target: berylspoke.TargetID(grant.Target), Slots: max(grant.Slots, 0)})
@@ -204,28 +205,28 @@
 	return lease
 }
 
-type wireReport struct {
+type wireShareReport struct {
 	_                     struct{} `cbor:",toarray"`
 	Service, Organisation string
-	Life, Sequence        uint32
+	Generation, Sequence  uint32
 	Weight                int64
-	// Acknowledged and Floor are differences to Counter and Base.
+	// Acknowledged and Floor are differences, subtracted from Counter and Base to decode.
 	Counter, Acknowledged int64
 	Base, Floor           int64
 }
 
-type wireReports struct {
+type wireShareReports struct {
 	_           struct{} `cbor:",toarray"`
 	Incarnation uint64
-	Reports     []wireReport
+	Reports     []wireShareReport
 }
 
-func reportsToWire(reports berylshare.Reports) *wireReports {
-	wire := &wireReports{Incarnation: uint64(reports.From.Incarnation)}
+func shareReportsToWire(reports berylshare.Reports) *wireShareReports {
+	wire := &wireShareReports{Incarnation: uint64(reports.From.Incarnation)}
 	for _, report := range reports.Reports {
-		wire.Reports = append(wire.Reports, wireReport{
+		wire.Reports = append(wire.Reports, wireShareReport{
 			Service: string(report.Service), Organisation: string(report.Organisation),
-			Life: report.Life, Sequence: report.Sequence, Weight: int64(report.Weight),
+			Generation: report.Life, Sequence: report.Sequence, Weight: int64(report.Weight),
 			Counter: int64(report.Counter), Acknowledged: int64(report.Counter - report.Acknowledged),
 			Base: int64(report.Base), Floor: int64(report.Base - report.Floor),
 		})
@@ -233,12 +234,12 @@
 	return wire
 }
 
-func (wire *wireReports) message(from berylspoke.VMID) berylspoke.Message {
+func (wire *wireShareReports) message(from berylspoke.VMID) berylspoke.Message {
 	reports := berylshare.Reports{From: process(from, wire.Incarnation)}
 	for _, report := range wire.Reports {
 		reports.Reports = append(reports.Reports, berylshare.Report{
 			Service: berylspoke.ServiceID(report.Service), Organisation: berylspoke.OrganisationID(report.Organisation),
-			Life: report.Life, Sequence: report.Sequence, Weight: berylspoke.Weight(report.Weight),
+			Life: report.Generation, Sequence: report.Sequence, Weight: berylspoke.Weight(report.Weight),
 			Counter: berylspoke.Tokens(report.Counter), Acknowledged: berylspoke.Tokens(report.Counter - report.Acknowledged),
 			Base: berylspoke.Tag(report.Base), Floor: berylspoke.Tag(report.Base - report.Floor),
 		})
@@ -246,21 +247,21 @@
 	return reports
 }
 
-type wireTotal struct {
+type wireShareTotal struct {
 	_                     struct{} `cbor:",toarray"`
 	Service, Organisation string
 	Counter, Tag          int64
 }
 
-type wireTotals struct {
+type wireShareTotals struct {
 	_      struct{} `cbor:",toarray"`
-	Totals []wireTotal
+	Totals []wireShareTotal
 }
 
-func totalsToWire(totals berylshare.Totals) *wireTotals {
-	wire := new(wireTotals)
+func shareTotalsToWire(totals berylshare.Totals) *wireShareTotals {
+	wire := new(wireShareTotals)
 	for _, total := range totals.Totals {
-		wire.Totals = append(wire.Totals, wireTotal{
+		wire.Totals = append(wire.Totals, wireShareTotal{
 			Service: string(total.Service), Organisation: string(total.Organisation),
 			Counter: int64(total.Counter), Tag: int64(total.Tag),
 		})
@@ -268,7 +269,7 @@
 	return wire
 }
 
-func (wire *wireTotals) message(berylspoke.VMID) berylspoke.Message {
+func (wire *wireShareTotals) message(berylspoke.VMID) berylspoke.Message {
 	totals := berylshare.Totals{}
 	for _, total := range wire.Totals {
 		totals.Totals = append(totals.Totals, berylshare.Total{
@@ -351,23 +352,23 @@
 	_         struct{} `cbor:",toarray"`
 	ID        wireCallID
 	Token     uint64
-	Standing  uint8
+	Status    uint8
 	ByWitness bool
 }
 
 func (wire *wireSettleAnswer) message(berylspoke.VMID) berylspoke.Message {
 	return berylticket.SettleAnswer{
 		ID: wire.ID.id(), Token: wire.Token,
-		Standing: min(berylticket.Standing(wire.Standing), berylticket.StandsMayHaveRun), ByWitness: wire.ByWitness,
+		Standing: min(berylticket.Standing(wire.Status), berylticket.StandsMayHaveRun), ByWitness: wire.ByWitness,
 	}
 }
 
-// toWire returns the wire form and the kind of a message, or nil.
+// toWire returns the encoded form of a message and its kind, or nil for an unknown type.
 func toWire(message berylspoke.Message) (wireMessage, kind) {
 	switch message := message.(type) {
 	case berylmember.Heartbeat:
 		wire := &wireHeartbeat{
-			Self: rumourToWire(message.Self), Number: uint64(message.Number),
+			Self: rumourToWire(message.Self), ConfigNumber: uint64(message.Number),
 			Serving: message.Serving, Sync: message.Sync, Digest: message.Digest,
 		}
 		for _, rumour := range message.Rumours {
@@ -383,21 +384,21 @@
 		}
 		return wire, kindPullAnswer
 	case berylfeed.Pull:
-		return &wirePull{Feed: uint8(message.Feed), After: uint64(message.After)}, kindPull
+		return &wireFeedPull{Feed: uint8(message.Feed), After: uint64(message.After)}, kindFeedPull
 	case berylfeed.Delta:
-		return deltaToWire(message), kindDelta
+		return feedDeltaToWire(message), kindFeedDelta
 	case berylgate.Report:
-		return dispatchesToWire(message), kindReport
+		return daemonReportToWire(message), kindDaemonReport
 	case berylgate.Usage:
 		return usageToWire(message), kindUsage
 	case berylslot.Ask:
-		return askToWire(message), kindAsk
+		return demandToWire(message), kindDemand
 	case berylslot.Lease:
 		return leaseToWire(message), kindLease
 	case berylshare.Reports:
-		return reportsToWire(message), kindReports
+		return shareReportsToWire(message), kindShareReports
 	case berylshare.Totals:
-		return totalsToWire(message), kindTotals
+		return shareTotalsToWire(message), kindShareTotals
 	case berylticket.PermitRequest:
 		return &wirePermitRequest{ID: callToWire(message.ID)}, kindPermitRequest
 	case berylticket.PermitAnswer:
@@ -409,7 +410,7 @@
 	case berylticket.SettleAnswer:
 		return &wireSettleAnswer{
 			ID: callToWire(message.ID), Token: message.Token,
-			Standing: uint8(message.Standing), ByWitness: message.ByWitness,
+			Status: uint8(message.Standing), ByWitness: message.ByWitness,
 		}, kindSettleAnswer
 	}
 	return nil, 0
--- a/io/berylpeer/wirefeed.go
+++ b/io/berylpeer/wirefeed.go
@@ -1,7 +1,7 @@
 package berylpeer
 
-// This file defines the wire forms of what daemons tell each other of the
-// published items and of their dispatches.
+// This file defines the encoded forms of the messages about published items, and of
+// the reports on dispatched requests and organisations.
 
 import (
 	"time"
@@ -11,13 +11,13 @@
 	"berylspoke/core/berylgate"
 )
 
-type wirePull struct {
+type wireFeedPull struct {
 	_     struct{} `cbor:",toarray"`
 	Feed  uint8
 	After uint64
 }
 
-func (wire *wirePull) message(berylspoke.VMID) berylspoke.Message {
+func (wire *wireFeedPull) message(berylspoke.VMID) berylspoke.Message {
 	return berylfeed.Pull{Feed: berylfeed.Name(wire.Feed), After: berylspoke.Revision(wire.After)}
 }
 
@@ -30,7 +30,7 @@
 	GraceMillis uint32
 }
 
-type wireDelta struct {
+type wireFeedDelta struct {
 	_       struct{} `cbor:",toarray"`
 	Feed    uint8
 	Full    bool
@@ -39,8 +39,8 @@
 	Changes []wireChange
 }
 
-func deltaToWire(delta berylfeed.Delta) *wireDelta {
-	wire := &wireDelta{Feed: uint8(delta.Feed), Full: delta.Full, After: uint64(delta.After), AsOf: uint64(delta.AsOf)}
+func feedDeltaToWire(delta berylfeed.Delta) *wireFeedDelta {
+	wire := &wireFeedDelta{Feed: uint8(delta.Feed), Full: delta.Full, After: uint64(delta.After), AsOf: uint64(delta.AsOf)}
 	for _, change := range delta.Changes {
 		wire.Changes = append(wire.Changes, wireChange{
 			Key: change.Item.Key, Value: change.Item.Value, Revision: uint64(change.Item.Revision),
@@ -50,7 +50,7 @@
 	return wire
 }
 
-func (wire *wireDelta) message(berylspoke.VMID) berylspoke.Message {
+func (wire *wireFeedDelta) message(berylspoke.VMID) berylspoke.Message {
 	delta := berylfeed.Delta{
 		Feed: berylfeed.Name(wire.Feed), Full: wire.Full, After: berylspoke.Revision(wire.After), AsOf: berylspoke.Revision(wire.AsOf),
 	}
@@ -66,12 +66,12 @@
 }
 
 type wireTargetReport struct {
-	_       struct{} `cbor:",toarray"`
-	Target  uint32
-	Work    uint64
-	Running int
-	Tokens  int64
-	Pending uint32
+	_             struct{} `cbor:",toarray"`
+	Target        uint32
+	WorkMillis    uint64
+	Running       int
+	Tokens        int64
+	PendingMillis uint32
 }
 
 type wireLoadReport struct {
@@ -82,16 +82,16 @@
 }
 
 type wireOrganisationReport struct {
-	_            struct{} `cbor:",toarray"`
-	Organisation uint32
-	Asked, Given uint32
-	Short        bool
+	_              struct{} `cbor:",toarray"`
+	Organisation   uint32
+	Demand, Served uint32
+	CPUStarved     bool
 }
 
 func organisationsToWire(reports []berylgate.OrganisationReport) []wireOrganisationReport {
 	wire := make([]wireOrganisationReport, 0, len(reports))
 	for _, item := range reports {
-		wire = append(wire, wireOrganisationReport{Organisation: item.Organisation, Asked: item.Asked, Given: item.Given, Short: item.Short})
+		wire = append(wire, wireOrganisationReport{Organisation: item.Organisation, Demand: item.Asked, Served: item.Given, CPUStarved: item.Short})
 	}
 	return wire
 }
@@ -100,7 +100,7 @@
 	var reports []berylgate.OrganisationReport
 	for _, item := range wire {
 		reports = append(reports, berylgate.OrganisationReport{
-			Organisation: item.Organisation, Asked: item.Asked, Given: item.Given, Short: item.Short,
+			Organisation: item.Organisation, Asked: item.Demand, Given: item.Served, Short: item.CPUStarved,
 		})
 	}
 	return reports
@@ -111,42 +111,42 @@
 	Extent        uint8
 	Domain        string
 	Organisations []wireOrganisationReport
-	Rest          uint32
+	OtherDemand   uint32
 }
 
 func usageToWire(usage berylgate.Usage) *wireUsage {
 	return &wireUsage{
 		Extent: uint8(usage.Extent), Domain: string(usage.Domain),
-		Organisations: organisationsToWire(usage.Organisations), Rest: usage.Rest,
+		Organisations: organisationsToWire(usage.Organisations), OtherDemand: usage.Rest,
 	}
 }
 
 func (wire *wireUsage) message(berylspoke.VMID) berylspoke.Message {
 	return berylgate.Usage{
 		Extent: berylgate.Extent(wire.Extent), Domain: berylspoke.FailureDomain(wire.Domain),
-		Organisations: organisationsFromWire(wire.Organisations), Rest: wire.Rest,
+		Organisations: organisationsFromWire(wire.Organisations), Rest: wire.OtherDemand,
 	}
 }
 
-type wireDispatches struct {
-	_             struct{} `cbor:",toarray"`
-	Incarnation   uint64
-	Feeds         []uint64
-	ContactMillis uint32
-	ContactID     uint64
-	Targets       []wireTargetReport
-	Loads         []wireLoadReport
-	Organisations []wireOrganisationReport
+type wireDaemonReport struct {
+	_                struct{} `cbor:",toarray"`
+	Incarnation      uint64
+	FeedRevisions    []uint64
+	ContactAgeMillis uint32
+	ContactID        uint64
+	Targets          []wireTargetReport
+	Loads            []wireLoadReport
+	Organisations    []wireOrganisationReport
 }
 
-func dispatchesToWire(report berylgate.Report) *wireDispatches {
-	wire := &wireDispatches{Incarnation: uint64(report.Incarnation), ContactMillis: uint32(report.Contact.Milliseconds()), ContactID: uint64(report.ContactID)}
+func daemonReportToWire(report berylgate.Report) *wireDaemonReport {
+	wire := &wireDaemonReport{Incarnation: uint64(report.Incarnation), ContactAgeMillis: uint32(report.Contact.Milliseconds()), ContactID: uint64(report.ContactID)}
 	for _, revision := range report.Feeds {
-		wire.Feeds = append(wire.Feeds, uint64(revision))
+		wire.FeedRevisions = append(wire.FeedRevisions, uint64(revision))
 	}
 	for _, item := range report.Targets {
 		wire.Targets = append(wire.Targets, wireTargetReport{
-			Target: item.Target, Work: item.Work, Running: item.Running, Tokens: int64(item.Tokens), Pending: item.Pending,
+			Target: item.Target, WorkMillis: item.Work, Running: item.Running, Tokens: int64(item.Tokens), PendingMillis: item.Pending,
 		})
 	}
 	for _, item := range report.Loads {
@@ -158,14 +158,14 @@
 	return wire
 }
 
-func (wire *wireDispatches) message(berylspoke.VMID) berylspoke.Message {
-	report := berylgate.Report{Incarnation: berylspoke.Incarnation(wire.Incarnation), Contact: time.Duration(wire.ContactMillis) * time.Millisecond, ContactID: berylfeed.ContactID(wire.ContactID)}
-	for _, revision := range wire.Feeds {
+func (wire *wireDaemonReport) message(berylspoke.VMID) berylspoke.Message {
+	report := berylgate.Report{Incarnation: berylspoke.Incarnation(wire.Incarnation), Contact: time.Duration(wire.ContactAgeMillis) * time.Millisecond, ContactID: berylfeed.ContactID(wire.ContactID)}
+	for _, revision := range wire.FeedRevisions {
 		report.Feeds = append(report.Feeds, berylspoke.Revision(revision))
 	}
 	for _, item := range wire.Targets {
 		report.Targets = append(report.Targets, berylgate.TargetReport{
-			Target: item.Target, Work: item.Work, Running: item.Running, Tokens: berylspoke.Tokens(item.Tokens), Pending: item.Pending,
+			Target: item.Target, Work: item.WorkMillis, Running: item.Running, Tokens: berylspoke.Tokens(item.Tokens), Pending: item.PendingMillis,
 		})
 	}
 	for _, item := range wire.Loads {
