--- a/io/berylconn/exchange.go
+++ b/io/berylconn/exchange.go
@@ -1,6 +1,6 @@
 package berylconn
 
-// This file defines one request and its answer on one connection.
+// This file defines the exchange of one request and its response on a connection.
 
 import (
 	"context"
@@ -11,74 +11,74 @@
 	"github.com/pkg/errors"
 )
 
-// Failure is an error together with whether the request may have been received.
+// Failure is the error of a request, with whether the target may have received it.
 type Failure struct {
-	// Unsent says that no byte can have reached the target.
+	// Unsent is set if no byte of the request can have reached the target.
 	Unsent bool
 	Cause  error
 }
 
-// Error implements error.
+// Error returns the message of the cause.
 func (failure *Failure) Error() string { return failure.Cause.Error() }
 
 // Unwrap returns the cause.
 func (failure *Failure) Unwrap() error { return failure.Cause }
 
-// Exchange is an answer that is being read.
+// Exchange is a request that was sent and whose response is being read.
 type Exchange struct {
 	Response *http.Response
-	// Opened is the time that a new connection took, zero for a kept one.
+	// Opened is the time that dialling took, zero for a pooled connection.
 	Opened  time.Duration
 	pool    *Pool
 	conn    *conn
 	written chan error
 	stop    func() bool
-	// foreign is set when answers of other requests were skipped.
-	foreign bool
+	// skipped is set when responses to other requests were skipped.
+	skipped bool
 }
 
 const (
-	// maxForeign bounds the answers of other requests that are skipped while
-	// waiting for the right one.
-	maxForeign = 3
-	// skipBytes bounds the body of a foreign answer that is read to skip it.
-	skipBytes = 1 << 20
-	// writeAside is the body size from which the request is written beside the
-	// reading of the answer. A target may answer before it has read a long body,
-	// and both ends would wait for each other.
-	writeAside = 2048
+	// maxResponses bounds the responses read while waiting for the one to the
+	// request, including interim ones.
+	maxResponses = 3
+	// maxSkippedBytes bounds the body that is read to skip a response.
+	maxSkippedBytes = 1 << 20
+	// maxInlineBody is the largest body that is written before the response is read.
+	// A larger one is written concurrently: a target may respond before it has read
+	// the body, and both ends would block on each other.
+	maxInlineBody = 2048
 )
 
-// Order is one request to one target.
+// Order describes one request to one target.
 type Order struct {
 	Address string
-	// Most is how many connections to the target may be open.
+	// Most bounds the open connections to the target.
 	Most    int
 	Request *http.Request
-	// Wanted says, once there is a connection, whether the request is still to be
-	// sent.
+	// Wanted reports whether the request is still to be sent. It is called once there
+	// is a connection, since dialling may take long.
 	Wanted func() bool
-	// Mine says whether an answer belongs to the request; others are skipped,
-	// since a target may send an answer twice and the second arrives where the
-	// next is due.
+	// Mine reports whether a response belongs to the request. Others are skipped: a
+	// target may send a response twice, and the duplicate arrives in place of the
+	// next response.
 	Mine func(*http.Response) bool
 }
 
-// ErrUnwanted means that a request was not wanted any more when it could be sent.
-var ErrUnwanted = errors.New("request is not wanted any more")
+// ErrUnwanted means that a request was no longer wanted when there was a connection.
+var ErrUnwanted = errors.New("request is no longer wanted")
 
-// Send sends a request and returns when the header of its answer has come. The
-// context ends the exchange at any time by closing the connection.
+// Send sends a request and returns once the header of its response was read. Ending
+// the context aborts the exchange at any time by closing the connection.
 func (pool *Pool) Send(ctx context.Context, order Order) (*Exchange, error) {
 	now := time.Now()
-	kept, err := pool.take(now, order.Address, order.Most)
+	pooled, err := pool.take(now, order.Address, order.Most)
 	if err != nil {
 		return nil, &Failure{Unsent: true, Cause: err}
 	}
-	exchange := &Exchange{pool: pool, conn: kept, written: make(chan error, 1)}
-	if kept == nil {
+	exchange := &Exchange{pool: pool, conn: pooled, written: make(chan error, 1)}
+	if pooled == nil {
 		if exchange.conn, err = pool.dial(ctx, order.Address); err != nil {
-			return nil, &Failure{Unsent: true, Cause: errors.Wrap(err, "target cannot be reached")}
+			return nil, &Failure{Unsent: true, Cause: errors.Wrap(err, "connection to target cannot be opened")}
 		}
 		exchange.Opened = time.Since(now)
 	}
@@ -96,15 +96,15 @@
 }
 
 func (exchange *Exchange) write(request *http.Request) {
-	if request.ContentLength > writeAside {
+	if request.ContentLength > maxInlineBody {
 		go func() { exchange.written <- request.Write(exchange.conn) }()
 		return
 	}
 	exchange.written <- request.Write(exchange.conn)
 }
 
-func (exchange *Exchange) readHeader(request *http.Request, mine func(*http.Response) bool) error {
-	for range maxForeign {
+func (exchange *Exchange) readHeader(request *http.Request, matches func(*http.Response) bool) error {
+	for range maxResponses {
 		response, err := http.ReadResponse(exchange.conn.reader, request)
 		if err != nil {
 			return errors.Wrap(err, "no answer")
@@ -112,42 +112,42 @@
 		if response.StatusCode >= 100 && response.StatusCode < 200 {
 			continue
 		}
-		if mine(response) {
+		if matches(response) {
 			exchange.Response = response
-			exchange.conn.learn(response.Header)
+			exchange.conn.setIdleTimeout(response.Header)
 			return nil
 		}
-		exchange.foreign = true
-		if _, err := io.Copy(io.Discard, io.LimitReader(response.Body, skipBytes)); err != nil {
-			return errors.Wrap(err, "answer of another request")
+		exchange.skipped = true
+		if _, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxSkippedBytes)); err != nil {
+			return errors.Wrap(err, "response to another request cannot be skipped")
 		}
 	}
-	return errors.New("only answers of other requests")
+	return errors.New("too many responses to other requests")
 }
 
-// Buffered returns how many bytes can be read without waiting.
+// Buffered returns the number of bytes that can be read without blocking.
 func (exchange *Exchange) Buffered() int { return exchange.conn.reader.Buffered() }
 
-// Done ends an exchange whose answer was read whole, and keeps its connection
-// if the next answer on it can only be the next request's.
+// Done ends an exchange whose response was read completely. It returns the connection
+// to the pool if the next response on it can only be that to the next request.
 func (exchange *Exchange) Done() {
-	whole := false
+	complete := false
 	select {
 	case err := <-exchange.written:
-		whole = err == nil
+		complete = err == nil
 	default:
-		// The target answered before it had read the request; what is left of
-		// the request would be taken for the next one.
+		// The target responded before it had read the request and would take the
+		// rest of it for the next request.
 	}
 	framed := exchange.Response.ContentLength >= 0 || len(exchange.Response.TransferEncoding) > 0
-	if !whole || !framed || exchange.foreign || exchange.Response.Close || exchange.conn.reader.Buffered() > 0 || !exchange.stop() {
+	if !complete || !framed || exchange.skipped || exchange.Response.Close || exchange.conn.reader.Buffered() > 0 || !exchange.stop() {
 		exchange.Discard()
 		return
 	}
 	exchange.pool.put(time.Now(), exchange.conn)
 }
 
-// Discard ends an exchange at once and closes its connection.
+// Discard aborts an exchange and closes its connection.
 func (exchange *Exchange) Discard() {
 	exchange.stop()
 	exchange.pool.discard(exchange.conn)
--- a/io/berylconn/pool.go
+++ b/io/berylconn/pool.go
@@ -18,37 +18,37 @@
 )
 
 const (
-	// dialTimeout bounds the opening of a connection: the way between regions
-	// and one lost packet.
+	// dialTimeout bounds dialling. It allows for the network latency between regions and
+	// one lost packet.
 	dialTimeout = 1200 * time.Millisecond
-	// unacknowledged is the time after which data that the other end does not
-	// acknowledge ends a connection. Something on the way may lose track of an
-	// open connection for good; only this shows it.
-	unacknowledged = 2 * time.Second
-	// keepAliveIdle and keepAliveEvery make a silent connection show while an
-	// answer is awaited.
-	keepAliveIdle  = 1500 * time.Millisecond
-	keepAliveEvery = time.Second
-	keepAliveLost  = 2
-	// idleMost is the time after which an idle connection is not used again,
-	// where the target states none.
-	idleMost = 4 * time.Second
-	// idleMargin is how much earlier than a target's own limit a connection is
-	// given up, so that a request does not cross the target's close.
-	idleMargin = 700 * time.Millisecond
-	readBytes  = 4096
+	// userTimeout is how long sent data may stay unacknowledged before the connection
+	// is closed. A middlebox may lose the state of an open connection for good;
+	// nothing else detects that.
+	userTimeout = 2 * time.Second
+	// The keep-alive probes detect a broken connection while a response is awaited.
+	keepAliveIdle     = 1500 * time.Millisecond
+	keepAliveInterval = time.Second
+	keepAliveCount    = 2
+	// defaultIdleTimeout is the time after which an idle connection is not reused,
+	// unless the target states its own.
+	defaultIdleTimeout = 4 * time.Second
+	// idleMargin is how much before the target's own idle timeout a connection is
+	// closed, so that a request does not cross the target's close.
+	idleMargin      = 700 * time.Millisecond
+	readBufferBytes = 4096
 )
 
-// ErrBusy means that no connection may be opened to the target.
+// ErrBusy means that the target has no idle connection and no further one may be
+// opened.
 var ErrBusy = errors.New("all connections to the target are in use")
 
-// Pool keeps the connections to all targets.
+// Pool holds the connections to all targets.
 type Pool struct {
 	mutex sync.Mutex
 	idle  map[string][]*conn
 	open  map[string]int
-	// Opened counts the connections ever opened.
-	opened uint64
+	// dials counts the dials since the start, including failed ones.
+	dials uint64
 }
 
 // conn is one connection to a target.
@@ -56,66 +56,68 @@
 	net.Conn
 	address string
 	reader  *bufio.Reader
-	// idleFor is how long the connection may stay idle, since is when it became.
-	idleFor time.Duration
-	since   time.Time
+	// idleTimeout is how long the connection may stay idle, idleSince when it became
+	// idle.
+	idleTimeout time.Duration
+	idleSince   time.Time
 }
 
-// NewPool returns a pool without connections.
+// NewPool returns an empty pool.
 func NewPool() *Pool {
 	return &Pool{idle: make(map[string][]*conn), open: make(map[string]int)}
 }
 
-// Opened returns how many connections were opened.
+// Opened returns the number of dials since the start, including failed ones.
 func (pool *Pool) Opened() uint64 {
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
-	return pool.opened
+	return pool.dials
 }
 
-// take returns an idle connection or reserves the right to open one.
-func (pool *Pool) take(now time.Time, address string, most int) (*conn, error) {
+// take returns an idle connection, or nil after reserving the right to open one.
+func (pool *Pool) take(now time.Time, address string, maxOpen int) (*conn, error) {
 	for {
-		kept, err := pool.takeOne(address, most)
-		if err != nil || kept == nil {
+		idle, err := pool.takeOne(address, maxOpen)
+		if err != nil || idle == nil {
 			return nil, err
 		}
-		if now.Sub(kept.since) < kept.idleFor && kept.clean() {
-			return kept, nil
+		if now.Sub(idle.idleSince) < idle.idleTimeout && idle.clean() {
+			return idle, nil
 		}
-		pool.discard(kept)
+		pool.discard(idle)
 	}
 }
 
-func (pool *Pool) takeOne(address string, most int) (*conn, error) {
+// takeOne is take without the check that the connection can be reused.
+func (pool *Pool) takeOne(address string, maxOpen int) (*conn, error) {
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
-	if kept := pool.idle[address]; len(kept) > 0 {
-		// The newest is taken first, so that connections beyond the present need
-		// grow old and are closed.
-		last := kept[len(kept)-1]
-		pool.idle[address] = kept[:len(kept)-1]
+	if idle := pool.idle[address]; len(idle) > 0 {
+		// The most recently used is taken first, so that connections beyond the
+		// current need stay idle until they are closed.
+		last := idle[len(idle)-1]
+		pool.idle[address] = idle[:len(idle)-1]
 		return last, nil
 	}
-	if pool.open[address] >= most {
+	if pool.open[address] >= maxOpen {
 		return nil, ErrBusy
 	}
 	pool.open[address]++
-	pool.opened++
+	pool.dials++
 	return nil, nil
 }
 
-// put keeps a connection for the next request.
-func (pool *Pool) put(now time.Time, kept *conn) {
-	kept.since = now
+// put returns a connection to the pool for the next request.
+func (pool *Pool) put(now time.Time, conn *conn) {
+	conn.idleSince = now
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
-	pool.idle[kept.address] = append(pool.idle[kept.address], kept)
+	pool.idle[conn.address] = append(pool.idle[conn.address], conn)
 }
 
-func (pool *Pool) discard(kept *conn) {
-	_ = kept.Close()
-	pool.release(kept.address)
+func (pool *Pool) discard(conn *conn) {
+	_ = conn.Close()
+	pool.release(conn.address)
 }
 
 func (pool *Pool) release(address string) {
@@ -126,17 +128,17 @@
 	}
 }
 
-// Sweep closes the connections that were idle for too long.
+// Sweep closes the connections whose idle timeout has expired.
 func (pool *Pool) Sweep(now time.Time) {
 	pool.mutex.Lock()
-	var old []*conn
-	for address, kept := range pool.idle {
-		fresh := kept[:0:0]
-		for _, one := range kept {
-			if now.Sub(one.since) < one.idleFor {
-				fresh = append(fresh, one)
+	var expired []*conn
+	for address, idle := range pool.idle {
+		fresh := idle[:0:0]
+		for _, conn := range idle {
+			if now.Sub(conn.idleSince) < conn.idleTimeout {
+				fresh = append(fresh, conn)
 			} else {
-				old = append(old, one)
+				expired = append(expired, conn)
 			}
 		}
 		pool.idle[address] = fresh
@@ -145,22 +147,22 @@
 		}
 	}
 	pool.mutex.Unlock()
-	for _, one := range old {
-		pool.discard(one)
+	for _, conn := range expired {
+		pool.discard(conn)
 	}
 }
 
-// dial opens a connection to a target.
+// dial opens a connection to a target; take must have reserved it.
 func (pool *Pool) dial(ctx context.Context, address string) (*conn, error) {
 	dialer := net.Dialer{
 		Timeout: dialTimeout,
 		KeepAliveConfig: net.KeepAliveConfig{
-			Enable: true, Idle: keepAliveIdle, Interval: keepAliveEvery, Count: keepAliveLost,
+			Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount,
 		},
 		Control: func(_, _ string, raw syscall.RawConn) error {
 			return raw.Control(func(fd uintptr) {
-				// A platform without the option still has the keep-alive.
-				_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unacknowledged.Milliseconds()))
+				// Without this option the connection still has the keep-alive.
+				_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
 			})
 		},
 	}
@@ -169,12 +171,12 @@
 		pool.release(address)
 		return nil, err
 	}
-	return &conn{Conn: opened, address: address, reader: bufio.NewReaderSize(opened, readBytes), idleFor: idleMost}, nil
+	return &conn{Conn: opened, address: address, reader: bufio.NewReaderSize(opened, readBufferBytes), idleTimeout: defaultIdleTimeout}, nil
 }
 
-// clean says whether an idle connection is open with nothing to read. A target
-// that closed it, or sent a second answer late, would otherwise be noticed only
-// after the next request was sent, when it may have run.
+// clean reports whether an idle connection is open with nothing to read. That the
+// target closed it, or sent a duplicate response late, would otherwise show only after
+// the next request was sent, when it may have run.
 func (conn *conn) clean() bool {
 	if conn.reader.Buffered() > 0 {
 		return false
@@ -189,22 +191,22 @@
 	}
 	clean := false
 	err = raw.Read(func(fd uintptr) bool {
-		var one [1]byte
-		_, err := syscall.Read(int(fd), one[:])
+		var buffer [1]byte
+		_, err := syscall.Read(int(fd), buffer[:])
 		clean = errors.Is(err, syscall.EAGAIN)
 		return true
 	})
 	return clean && err == nil
 }
 
-// learn takes the idle time that a target states in its answer.
-func (conn *conn) learn(header http.Header) {
+// setIdleTimeout applies the timeout of the Keep-Alive header of a response.
+func (conn *conn) setIdleTimeout(header http.Header) {
 	for _, field := range strings.Split(header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
 		seconds, err := strconv.Atoi(value)
 		if !strings.EqualFold(name, "timeout") || err != nil {
 			continue
 		}
-		conn.idleFor = time.Duration(seconds)*time.Second - idleMargin
+		conn.idleTimeout = time.Duration(seconds)*time.Second - idleMargin
 	}
 }
