--- a/io/berylsettings/decode.go
+++ b/io/berylsettings/decode.go
@@ -13,8 +13,8 @@
 	"github.com/tailscale/hujson"
 )
 
-// Decode reads JSON with comments into a struct and refuses unknown fields,
-// naming the line and the nearest known field.
+// Decode decodes JSON with comments into a struct. An unknown field is an error that
+// names its line and the most similar known field.
 func Decode(body []byte, into any) error {
 	standard, err := hujson.Standardize(bytes.Clone(body))
 	if err != nil {
@@ -30,7 +30,8 @@
 
 var unknownField = regexp.MustCompile(`unknown field "([^"]*)"`)
 
-// explain adds the line, and for an unknown field the nearest known one.
+// explain adds the line to an error, and for an unknown field the most similar known
+// one.
 func explain(body, standard []byte, offset int64, err error, into any) error {
 	var mismatch *json.UnmarshalTypeError
 	if errors.As(err, &mismatch) {
@@ -50,21 +51,21 @@
 	return errors.Errorf("line %d: unknown field %q", line, match[1])
 }
 
-// lineAt returns the line of an offset; standardizing keeps all offsets.
+// lineAt returns the line number of an offset; standardizing keeps all offsets.
 func lineAt(body []byte, offset int64) int {
 	return 1 + bytes.Count(body[:min(offset, int64(len(body)))], []byte("\n"))
 }
 
-// fields lists the JSON names of a struct type and of those within it.
-func fields(kind reflect.Type, names []string) []string {
-	for kind.Kind() == reflect.Pointer || kind.Kind() == reflect.Map || kind.Kind() == reflect.Slice {
-		kind = kind.Elem()
+// fields appends the JSON field names of a struct type and of the structs nested in it.
+func fields(typ reflect.Type, names []string) []string {
+	for typ.Kind() == reflect.Pointer || typ.Kind() == reflect.Map || typ.Kind() == reflect.Slice {
+		typ = typ.Elem()
 	}
-	if kind.Kind() != reflect.Struct {
+	if typ.Kind() != reflect.Struct {
 		return names
 	}
-	for i := range kind.NumField() {
-		field := kind.Field(i)
+	for i := range typ.NumField() {
+		field := typ.Field(i)
 		if name, _, _ := strings.Cut(field.Tag.Get("json"), ","); name != "" {
 			names = append(names, name)
 			names = fields(field.Type, names)
@@ -73,8 +74,8 @@
 	return names
 }
 
-// Nearest returns the candidate with the fewest edits from the word, or "" if
-// none is near.
+// Nearest returns the candidate with the smallest edit distance from the word, or "" if
+// none is within half of the word's length.
 func Nearest(word string, candidates []string) string {
 	best, fewest := "", len(word)/2+1
 	for _, candidate := range candidates {
@@ -85,7 +86,7 @@
 	return best
 }
 
-// distance is the Levenshtein distance.
+// distance returns the Levenshtein distance between two words.
 func distance(left, right string) int {
 	row := make([]int, len(right)+1)
 	for j := range row {
--- a/io/berylsettings/doc.go
+++ b/io/berylsettings/doc.go
@@ -1,3 +1,3 @@
-// Package berylsettings reads the settings of a daemon: JSON with comments,
-// strict, every fault named with its line and field.
+// Package berylsettings reads the settings of a daemon from JSON with comments. Unknown
+// fields are errors; errors name the line or the field.
 package berylsettings
--- a/io/berylsettings/settings.go
+++ b/io/berylsettings/settings.go
@@ -16,7 +16,7 @@
 	"berylspoke/core/berylshare"
 )
 
-// Settings are what one daemon is told at its start.
+// Settings is the configuration of one daemon, read when it starts.
 type Settings struct {
 	VM              berylspoke.VMID          `json:"vm"`
 	FailureDomain   berylspoke.FailureDomain `json:"failureDomain"`
@@ -35,13 +35,13 @@
 	Targets         Targets                  `json:"targets"`
 }
 
-// TLS names the files of the callers' certificate.
+// TLS names the files of the certificate presented to callers.
 type TLS struct {
 	CertificateFile string `json:"certificateFile"`
 	KeyFile         string `json:"keyFile"`
 }
 
-// Callers bounds what callers may send.
+// Callers bounds the requests and connections of callers.
 type Callers struct {
 	MaxBodyBytes    int64 `json:"maxBodyBytes"`
 	MaxHeaderBytes  int   `json:"maxHeaderBytes"`
@@ -52,32 +52,33 @@
 	KeepMillis      int   `json:"keepMillis"`
 }
 
-// Fairness holds the bounds of the service gap, in tokens at weight one.
+// Fairness bounds the service gap between organisations, in tokens at weight one.
 type Fairness struct {
-	CatchUpTokens berylspoke.Tokens `json:"catchUpTokens"`
-	LeadTokens    berylspoke.Tokens `json:"leadTokens"`
-	SlackTokens   berylspoke.Tokens `json:"slackTokens"`
-	QuantumTokens berylspoke.Tokens `json:"quantumTokens"`
-	ReportMillis  int               `json:"reportMillis"`
+	CatchUpTokens        berylspoke.Tokens `json:"catchUpTokens"`
+	LeadTokens           berylspoke.Tokens `json:"leadTokens"`
+	SlackTokens          berylspoke.Tokens `json:"slackTokens"`
+	QuantumTokens        berylspoke.Tokens `json:"quantumTokens"`
+	ReportIntervalMillis int               `json:"reportMillis"`
 }
 
-// Regions holds the bounds of work between regions.
+// Regions bounds the work and the traffic between regions.
 type Regions struct {
 	CrossAfterMillis    int               `json:"crossAfterMillis"`
 	CrossMarginTokens   berylspoke.Tokens `json:"crossMarginTokens"`
 	CrossBytesPerSecond int               `json:"crossBytesPerSecond"`
 }
 
-// Targets holds the times within which targets must show progress.
+// Targets holds the timeouts of requests to targets, the interval of their load checks
+// and the goal for the time between tokens.
 type Targets struct {
-	FirstTokenMillis int `json:"firstTokenMillis"`
-	ProgressMillis   int `json:"progressMillis"`
-	CallMillis       int `json:"callMillis"`
-	LoadMillis       int `json:"loadMillis"`
-	PaceMillis       int `json:"paceMillis"`
+	FirstTokenMillis    int `json:"firstTokenMillis"`
+	ProgressMillis      int `json:"progressMillis"`
+	CallMillis          int `json:"callMillis"`
+	LoadMillis          int `json:"loadMillis"`
+	TokenIntervalMillis int `json:"paceMillis"`
 }
 
-// Defaults returns the settings that a file starts from.
+// Defaults returns the values of settings that the file leaves out.
 func Defaults() Settings {
 	node := berylnode.DefaultOptions()
 	return Settings{
@@ -88,18 +89,18 @@
 			ReadMillis: 10_000, MaxWaitMillis: 120_000, HeartbeatMillis: 2_000, KeepMillis: 30_000,
 		},
 		Fairness: Fairness{
-			CatchUpTokens: berylspoke.Tokens(node.Queue.CatchUp / berylspoke.TagScale),
-			LeadTokens:    berylspoke.Tokens(node.Queue.Lead / berylspoke.TagScale),
-			SlackTokens:   600,
-			QuantumTokens: node.Quantum,
-			ReportMillis:  int(node.ReportEvery.Milliseconds()),
+			CatchUpTokens:        berylspoke.Tokens(node.Queue.CatchUp / berylspoke.TagScale),
+			LeadTokens:           berylspoke.Tokens(node.Queue.Lead / berylspoke.TagScale),
+			SlackTokens:          600,
+			QuantumTokens:        node.Quantum,
+			ReportIntervalMillis: int(node.ReportEvery.Milliseconds()),
 		},
 		Regions: Regions{
 			CrossAfterMillis:    int(node.CrossAfter.Milliseconds()),
 			CrossMarginTokens:   berylspoke.Tokens(node.CrossMargin / berylspoke.TagScale),
 			CrossBytesPerSecond: int(node.CrossBytes),
 		},
-		Targets: Targets{FirstTokenMillis: 2_000, ProgressMillis: 1_000, CallMillis: 20_000, LoadMillis: 2_000, PaceMillis: 30},
+		Targets: Targets{FirstTokenMillis: 2_000, ProgressMillis: 1_000, CallMillis: 20_000, LoadMillis: 2_000, TokenIntervalMillis: 30},
 	}
 }
 
@@ -107,7 +108,7 @@
 func Load(path string) (*Settings, error) {
 	body, err := os.ReadFile(path)
 	if err != nil {
-		return nil, errors.Wrap(err, "settings cannot be read")
+		return nil, errors.Wrap(err, "settings file cannot be read")
 	}
 	settings := Defaults()
 	if err := Decode(body, &settings); err != nil {
@@ -119,7 +120,7 @@
 	return &settings, nil
 }
 
-// Validate lists every fault of the settings.
+// Validate returns a message for each invalid field.
 func (settings *Settings) Validate() []string {
 	var faults []string
 	report := func(field, format string, args ...any) {
@@ -140,15 +141,15 @@
 			report(address.field, "%q is not an IP number and a port", address.value)
 		}
 	}
-	if len(settings.OperatorToken) < minToken {
-		report("operatorToken", "is shorter than %d characters", minToken)
+	if len(settings.OperatorToken) < minTokenLength {
+		report("operatorToken", "is shorter than %d characters", minTokenLength)
 	}
 	if len(settings.FleetKeys) == 0 {
 		report("fleetKeys", "is empty")
 	}
 	for i, key := range settings.FleetKeys {
-		if raw, err := hex.DecodeString(key); err != nil || len(raw) < minKey {
-			report(fmt.Sprintf("fleetKeys[%d]", i), "is not hexadecimal of at least %d bytes", minKey)
+		if raw, err := hex.DecodeString(key); err != nil || len(raw) < minKeyBytes {
+			report(fmt.Sprintf("fleetKeys[%d]", i), "is not hexadecimal of at least %d bytes", minKeyBytes)
 		}
 	}
 	switch settings.Policy {
@@ -170,12 +171,12 @@
 		{"fairness.catchUpTokens", int64(settings.Fairness.CatchUpTokens)},
 		{"fairness.leadTokens", int64(settings.Fairness.LeadTokens)},
 		{"fairness.quantumTokens", int64(settings.Fairness.QuantumTokens)},
-		{"fairness.reportMillis", int64(settings.Fairness.ReportMillis)},
+		{"fairness.reportMillis", int64(settings.Fairness.ReportIntervalMillis)},
 		{"targets.firstTokenMillis", int64(settings.Targets.FirstTokenMillis)},
 		{"targets.progressMillis", int64(settings.Targets.ProgressMillis)},
 		{"targets.callMillis", int64(settings.Targets.CallMillis)},
 		{"targets.loadMillis", int64(settings.Targets.LoadMillis)},
-		{"targets.paceMillis", int64(settings.Targets.PaceMillis)},
+		{"targets.paceMillis", int64(settings.Targets.TokenIntervalMillis)},
 	}
 	for _, positive := range positives {
 		if positive.value <= 0 {
@@ -186,11 +187,11 @@
 }
 
 const (
-	minToken = 16
-	minKey   = 16
+	minTokenLength = 16
+	minKeyBytes    = 16
 )
 
-// Keys returns the fleet keys as bytes; the settings must be valid.
+// Keys returns the decoded fleet keys; the settings must be valid.
 func (settings *Settings) Keys() [][]byte {
 	keys := make([][]byte, len(settings.FleetKeys))
 	for i, key := range settings.FleetKeys {
@@ -199,7 +200,7 @@
 	return keys
 }
 
-// Node returns the options of the core.
+// Node returns the options of the core for these settings.
 func (settings *Settings) Node(incarnation berylspoke.Incarnation) berylnode.Options {
 	options := berylnode.DefaultOptions()
 	options.VM = berylspoke.VM{
@@ -211,14 +212,14 @@
 	options.Queue.CatchUp = berylspoke.Weight(1).Normalise(settings.Fairness.CatchUpTokens)
 	options.Queue.Lead = berylspoke.Weight(1).Normalise(settings.Fairness.LeadTokens)
 	options.Keeper.Slack = berylspoke.Weight(1).Normalise(settings.Fairness.SlackTokens)
-	options.Keeper.Limiter.Pace = Millis(settings.Targets.PaceMillis)
+	options.Keeper.Limiter.Pace = Millis(settings.Targets.TokenIntervalMillis)
 	options.Quantum = settings.Fairness.QuantumTokens
-	options.ReportEvery = Millis(settings.Fairness.ReportMillis)
+	options.ReportEvery = Millis(settings.Fairness.ReportIntervalMillis)
 	options.CrossAfter = Millis(settings.Regions.CrossAfterMillis)
 	options.CrossMargin = berylspoke.Weight(1).Normalise(settings.Regions.CrossMarginTokens)
 	options.CrossBytes = float64(settings.Regions.CrossBytesPerSecond)
 	return options
 }
 
-// Millis returns a duration of whole milliseconds.
+// Millis converts a number of milliseconds to a duration.
 func Millis(count int) time.Duration { return time.Duration(count) * time.Millisecond }
