--- a/io/beryllog/doc.go
+++ b/io/beryllog/doc.go
@@ -1,8 +1,6 @@
-// Package beryllog writes a process's log to standard output without ever
-// making the process wait.
+// Package beryllog writes a process's log without ever blocking the process.
 //
-// The model: lines are handed to one writing goroutine through a bounded
-// buffer. A line that finds it full is dropped and counted, and the count is
-// written once there is room. A reader that stops reading costs lines, never
-// requests.
+// Lines pass through a bounded buffer to one writing goroutine. A line that does not
+// fit is dropped and counted, and the count is logged once there is room. If the
+// reader of the log stalls, lines are lost but requests are not delayed.
 package beryllog
--- a/io/beryllog/log.go
+++ b/io/beryllog/log.go
@@ -1,6 +1,6 @@
 package beryllog
 
-// This file defines the log and its bounded writer.
+// This file defines the logger and its bounded writer.
 
 import (
 	"bytes"
@@ -14,42 +14,41 @@
 )
 
 const (
-	// bufferBytes bounds the lines that wait to be written: about a second of
-	// the busiest process.
-	bufferBytes = 512 << 10
-	// gatherFor is how long lines gather before they are written together; a
+	// maxBufferBytes bounds the buffered lines: about a second of the busiest process.
+	maxBufferBytes = 512 << 10
+	// flushDelay is how long lines are collected before they are written together; a
 	// write costs as much as some dozen lines.
-	gatherFor = 200 * time.Millisecond
-	// writeBytes bounds one write: a pipe takes so much as a whole, and collectors
-	// that read less than a large write lose the lines at its end.
-	writeBytes = 4 << 10
+	flushDelay = 200 * time.Millisecond
+	// maxWriteBytes bounds one write. A pipe takes up to this size atomically, and
+	// collectors that read less than a large write lose the lines at its end.
+	maxWriteBytes = 4 << 10
 )
 
-// Writer is a bounded writer that drops what it has no room for.
+// Writer buffers lines and drops those for which it has no room.
 type Writer struct {
 	out     io.Writer
 	mutex   sync.Mutex
-	waiting []byte
+	buffer  []byte
 	dropped int
 	wake    chan struct{}
 }
 
 var _ zapcore.WriteSyncer = (*Writer)(nil)
 
-// NewWriter returns a writer in front of another one.
+// NewWriter returns a writer that buffers lines for another one.
 func NewWriter(out io.Writer) *Writer {
 	writer := &Writer{out: out, wake: make(chan struct{}, 1)}
 	go writer.run()
 	return writer
 }
 
-// Write implements io.Writer; it never waits and never fails.
+// Write implements io.Writer. It neither blocks nor fails.
 func (writer *Writer) Write(line []byte) (int, error) {
 	writer.mutex.Lock()
-	if len(writer.waiting)+len(line) > bufferBytes {
+	if len(writer.buffer)+len(line) > maxBufferBytes {
 		writer.dropped++
 	} else {
-		writer.waiting = append(writer.waiting, line...)
+		writer.buffer = append(writer.buffer, line...)
 	}
 	writer.mutex.Unlock()
 	select {
@@ -59,16 +58,16 @@
 	return len(line), nil
 }
 
-// Sync implements zapcore.WriteSyncer: it writes what waits.
+// Sync implements zapcore.WriteSyncer by writing the buffered lines.
 func (writer *Writer) Sync() error {
 	return writer.flush()
 }
 
-func (writer *Writer) take() []byte {
+func (writer *Writer) takeBuffer() []byte {
 	writer.mutex.Lock()
 	defer writer.mutex.Unlock()
-	lines := writer.waiting
-	writer.waiting = nil
+	lines := writer.buffer
+	writer.buffer = nil
 	if writer.dropped > 0 {
 		lines = append(lines, fmt.Sprintf("{\"level\":\"warn\",\"msg\":\"log lines dropped\",\"count\":%d}\n", writer.dropped)...)
 		writer.dropped = 0
@@ -78,15 +77,15 @@
 
 func (writer *Writer) run() {
 	for range writer.wake {
-		time.Sleep(gatherFor)
-		// There is nowhere to report a failure of the log itself.
+		time.Sleep(flushDelay)
+		// A failure to write the log cannot be logged.
 		_ = writer.flush()
 	}
 }
 
-// flush writes the lines that wait, whole ones in each write.
+// flush writes the buffered lines, with only whole lines in each write.
 func (writer *Writer) flush() error {
-	lines := writer.take()
+	lines := writer.takeBuffer()
 	for len(lines) > 0 {
 		size := writeSize(lines)
 		if _, err := writer.out.Write(lines[:size]); err != nil {
@@ -97,13 +96,13 @@
 	return nil
 }
 
-// writeSize returns the size of the next write: as many whole lines as it may hold, but
-// at least one.
+// writeSize returns the size of the next write: as many whole lines as fit, but at least
+// one.
 func writeSize(lines []byte) int {
-	if len(lines) <= writeBytes {
+	if len(lines) <= maxWriteBytes {
 		return len(lines)
 	}
-	if end := bytes.LastIndexByte(lines[:writeBytes], '\n'); end >= 0 {
+	if end := bytes.LastIndexByte(lines[:maxWriteBytes], '\n'); end >= 0 {
 		return end + 1
 	}
 	if end := bytes.IndexByte(lines, '\n'); end >= 0 {
@@ -112,7 +111,7 @@
 	return len(lines)
 }
 
-// New returns a log of JSON lines from the given level on.
+// New returns a logger that writes JSON lines of at least the given level.
 func New(out io.Writer, level zapcore.Level) *zap.Logger {
 	encoding := zap.NewProductionEncoderConfig()
 	encoding.EncodeTime = zapcore.ISO8601TimeEncoder
--- a/io/berylplatform/client.go
+++ b/io/berylplatform/client.go
@@ -16,11 +16,11 @@
 )
 
 const (
-	// watchTime is how long the platform may hold a watch open.
-	watchTime = 20 * time.Second
-	// answerTime is how much longer an answer may take.
-	answerTime = 5 * time.Second
-	maxAnswer  = 16 << 20
+	// watchWait is how long the platform may hold a watch open.
+	watchWait = 20 * time.Second
+	// responseSlack is how much longer than watchWait a request may take.
+	responseSlack    = 5 * time.Second
+	maxResponseBytes = 16 << 20
 )
 
 type wirePatch struct {
@@ -53,54 +53,56 @@
 
 var _ berylspoke.Platform = (*Client)(nil)
 
-// NewClient returns a client of the platform at the given address.
+// NewClient returns a client for the platform at the given address.
 func NewClient(address string) *Client {
-	return &Client{base: "http://" + address, client: &http.Client{Timeout: watchTime + answerTime}}
+	return &Client{base: "http://" + address, client: &http.Client{Timeout: watchWait + responseSlack}}
 }
 
-// Patches returns patches published after the given number, waiting for one.
+// Patches returns the patches published after the given number. It waits for one, up to
+// watchWait.
 func (client *Client) Patches(ctx context.Context, after berylspoke.EntryNumber) ([]berylspoke.Published, error) {
-	var answer wirePatches
-	path := fmt.Sprintf("/v1/patches?after=%d&waitMs=%d", after, watchTime.Milliseconds())
-	if err := client.get(ctx, path, &answer); err != nil {
+	var response wirePatches
+	path := fmt.Sprintf("/v1/patches?after=%d&waitMs=%d", after, watchWait.Milliseconds())
+	if err := client.get(ctx, path, &response); err != nil {
 		return nil, err
 	}
-	entries := make([]berylspoke.Published, len(answer.Patches))
-	for i, patch := range answer.Patches {
-		entries[i] = berylspoke.Published{Number: berylspoke.EntryNumber(patch.Number), Body: patch.Body}
+	patches := make([]berylspoke.Published, len(response.Patches))
+	for i, patch := range response.Patches {
+		patches[i] = berylspoke.Published{Number: berylspoke.EntryNumber(patch.Number), Body: patch.Body}
 	}
-	return entries, nil
+	return patches, nil
 }
 
-// VMs returns the list of VMs once its revision differs from the given one.
+// VMs returns the list of VMs and its revision. It waits for a revision that differs from
+// the given one, up to watchWait.
 func (client *Client) VMs(ctx context.Context, after uint64) ([]berylspoke.VM, uint64, error) {
-	var answer wireVMs
-	path := fmt.Sprintf("/v1/vms?after=%d&waitMs=%d", after, watchTime.Milliseconds())
-	if err := client.get(ctx, path, &answer); err != nil {
+	var response wireVMs
+	path := fmt.Sprintf("/v1/vms?after=%d&waitMs=%d", after, watchWait.Milliseconds())
+	if err := client.get(ctx, path, &response); err != nil {
 		return nil, 0, err
 	}
-	vms := make([]berylspoke.VM, len(answer.VMs))
-	for i, vm := range answer.VMs {
+	vms := make([]berylspoke.VM, len(response.VMs))
+	for i, vm := range response.VMs {
 		vms[i] = berylspoke.VM{
 			ID: berylspoke.VMID(vm.ID), FailureDomain: berylspoke.FailureDomain(vm.FailureDomain),
 			PeerAddress: vm.PeerAddress, CallAddress: vm.CallAddress, Leaving: vm.Leaving,
 		}
 	}
-	return vms, answer.Revision, nil
+	return vms, response.Revision, nil
 }
 
-func (client *Client) get(ctx context.Context, path string, answer any) error {
+func (client *Client) get(ctx context.Context, path string, body any) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, client.base+path, nil)
 	if err != nil {
-		return errors.Wrap(err, "platform request cannot be made")
+		return errors.Wrap(err, "platform request cannot be created")
 	}
 	response, err := client.client.Do(request)
 	if err != nil {
-		return errors.Wrap(err, "platform does not answer")
+		return errors.Wrap(err, "platform request failed")
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
-		return errors.Errorf("platform answers %s", response.Status)
+		return errors.Errorf("platform responded with status %s", response.Status)
 	}
-	return errors.Wrap(json.NewDecoder(io.LimitReader(response.Body, maxAnswer)).Decode(answer), "platform's answer is garbled")
+	return errors.Wrap(json.NewDecoder(io.LimitReader(response.Body, maxResponseBytes)).Decode(body), "platform response is malformed")
 }
--- a/io/berylplatform/doc.go
+++ b/io/berylplatform/doc.go
@@ -1,3 +1,3 @@
-// Package berylplatform reads what the platform publishes: the numbered patches
-// and the list of VMs. It never writes.
+// Package berylplatform is a read-only client of the platform's configuration service,
+// which publishes numbered patches and the list of VMs.
 package berylplatform
