--- a/io/berylconn/exchange.go
+++ b/io/berylconn/exchange.go
@@ -107,7 +107,7 @@
 	for range maxResponses {
 		response, err := http.ReadResponse(exchange.conn.reader, request)
 		if err != nil {
-			return errors.Wrap(err, "no answer")
+			return errors.Wrap(err, "no response from target")
 		}
 		if response.StatusCode >= 100 && response.StatusCode < 200 {
 			continue
