--- /dev/null
+++ b/io/beryledge/store.go
@@ -0,0 +1,119 @@
+package beryledge
+
+// This file defines how the platform's store is read.
+
+import (
+	"math/rand/v2"
+	"time"
+
+	"github.com/pkg/errors"
+
+	"berylspoke"
+	"berylspoke/core/berylfeed"
+	"berylspoke/core/berylgate"
+)
+
+const (
+	// watchTimeout is how long a watch waits at the store. A store that drops its
+	// history may forget a waiting watch, which then reports nothing until it ends; a
+	// change must still be in force within three seconds.
+	watchTimeout = time.Second
+	// watcherCount is the number of daemons that watch the store. Each call is paid for
+	// and the store's rate limit is shared, so the others get the changes from these.
+	// There are three, so that a fault at one or two of them delays nothing.
+	watcherCount = 3
+	// contactSlack is added to the duration of a watch and the reports that pass its
+	// answer on, for slow answers and late ticks.
+	contactSlack = 300 * time.Millisecond
+	// maxContactAge is how old the last contact of any daemon may be before a daemon
+	// that is no watcher reads the store itself: one watch, one report and a lost one.
+	maxContactAge = watchTimeout + 2*reportInterval + contactSlack
+	// maxSampledContactAge replaces maxContactAge where reports pass from daemon to
+	// daemon, over as many hops as the largest fleet has.
+	maxSampledContactAge = watchTimeout + 3*sampledReportInterval + contactSlack
+	// firstAnswerDelay is how long a daemon that starts to watch waits for its first
+	// answer at most while the store is up.
+	firstAnswerDelay = 900 * time.Millisecond
+	// peerWait is how long a daemon that starts together with the whole fleet waits for
+	// the published items from its peers before it reads the store: the seeds read it at
+	// once, and the items reach the fleet within about a second. Without the wait, each
+	// start of a fleet causes two lists per daemon at the same moment.
+	peerWait = 2500 * time.Millisecond
+	// watchCheckInterval is the time between two checks whether to read the store.
+	watchCheckInterval = 100 * time.Millisecond
+	// minRetryPause and maxRetryPause bound the pause after a failed call. A store that
+	// rejects calls because there are too many must not get even more.
+	minRetryPause = 250 * time.Millisecond
+	maxRetryPause = 1500 * time.Millisecond
+)
+
+// followStore reads the items below one prefix until the daemon ends.
+func (daemon *Daemon) followStore(feed berylfeed.Name, prefix string) {
+	pause := minRetryPause
+	var after berylspoke.Revision
+	for daemon.ctx.Err() == nil {
+		if !daemon.mustWatch(feed, time.Now()) {
+			daemon.sleep(watchCheckInterval)
+			continue
+		}
+		full := !daemon.known[feed].Load() && after == 0
+		message, err := daemon.read(feed, prefix, full, after)
+		if errors.Is(err, berylspoke.ErrHistoryGone) {
+			message, err = daemon.read(feed, prefix, true, 0)
+		}
+		if err != nil {
+			daemon.send(storeFailed{feed, err})
+			daemon.sleep(pause + time.Duration(rand.Int64N(int64(pause))))
+			pause = min(2*pause, maxRetryPause)
+			continue
+		}
+		pause, after = minRetryPause, message.asOf
+		daemon.send(message)
+	}
+}
+
+// mustWatch reports whether this daemon has to read the store itself: because it is one
+// of the watchers, knows nothing yet, or has no recent report of a contact.
+func (daemon *Daemon) mustWatch(feed berylfeed.Name, now time.Time) bool {
+	if !daemon.known[feed].Load() {
+		return !daemon.settings.waitsForPeers() || now.Sub(daemon.started) > peerWait
+	}
+	if daemon.watcher.Load() {
+		return true
+	}
+	return now.Sub(time.Unix(0, daemon.lastContact.Load())) > daemon.contactAgeLimit()
+}
+
+// contactAgeLimit returns how old the last contact of any daemon may be before a daemon
+// that is no watcher reads the store itself.
+func (daemon *Daemon) contactAgeLimit() time.Duration {
+	if len(daemon.entries.Load().domains) > berylgate.FullMesh {
+		return maxSampledContactAge
+	}
+	return maxContactAge
+}
+
+// read makes one watch call, or the calls of one list. A watch continues after the last
+// answer, or after newer changes that peers sent.
+func (daemon *Daemon) read(feed berylfeed.Name, prefix string, full bool, after berylspoke.Revision) (storeAnswer, error) {
+	daemon.meters.storeCalls.Inc()
+	message := storeAnswer{feed: feed, full: full}
+	var err error
+	if full {
+		message.items, message.asOf, err = daemon.store.List(daemon.ctx, prefix)
+		return message, err
+	}
+	after = max(after, berylspoke.Revision(daemon.revisions[feed].Load()))
+	message.items, message.asOf, err = daemon.store.Watch(daemon.ctx, prefix, after, watchTimeout)
+	return message, err
+}
+
+// sleep waits for a time or until the daemon ends.
+func (daemon *Daemon) sleep(pause time.Duration) {
+	timer := time.NewTimer(pause)
+	defer timer.Stop()
+	select {
+	case <-daemon.ctx.Done():
+	case <-timer.C:
+	}
+}
