--- a/io/berylfleet/stands.go
+++ b/io/berylfleet/stands.go
@@ -18,7 +18,7 @@
 	Plan     Plan
 	Platform *berylstand.Platform
 	Engines  map[berylspoke.TargetID]*berylstand.Engine
-	Desks    map[berylspoke.TargetID]*berylstand.Desk
+	Desks    map[berylspoke.TargetID]*berylstand.PlainTarget
 	servers  map[string]*berylstand.Server
 	stop     context.CancelFunc
 }
@@ -29,7 +29,7 @@
 	stands := &Stands{
 		Plan: plan, Platform: berylstand.NewPlatform(), stop: stop,
 		Engines: make(map[berylspoke.TargetID]*berylstand.Engine),
-		Desks:   make(map[berylspoke.TargetID]*berylstand.Desk),
+		Desks:   make(map[berylspoke.TargetID]*berylstand.PlainTarget),
 		servers: make(map[string]*berylstand.Server),
 	}
 	if err := stands.start(ctx); err != nil {
@@ -99,7 +99,7 @@
 // and the number of ids executed.
 func (stands *Stands) Executions() (most, requests int) {
 	for _, desk := range stands.Desks {
-		deskMost, deskRequests := desk.Most()
+		deskMost, deskRequests := desk.ExecutionCounts()
 		most = max(most, deskMost)
 		requests += deskRequests
 	}
--- a/io/berylload/measure.go
+++ b/io/berylload/measure.go
@@ -137,7 +137,7 @@
 	for _, engine := range run.fleet.Engines {
 		var stats berylstand.Stats
 		if get("http://"+engine.Address+"/v1/stats", "", &stats) == nil {
-			sum.busy += stats.Busy
+			sum.busy += stats.SlotTime
 			sum.slots += stats.Slots
 		}
 	}
--- a/io/berylstand/desk.go
+++ b/io/berylstand/desk.go
@@ -1,6 +1,6 @@
 package berylstand
 
-// This file defines the stand-in of a plain service.
+// This file defines the fake of a target of a plain service.
 
 import (
 	"fmt"
@@ -10,8 +10,9 @@
 	"time"
 )
 
-// Desk takes filings and bookings and records every execution.
-type Desk struct {
+// PlainTarget is a target of a plain service, which accepts filings and bookings and
+// counts the executions of each request.
+type PlainTarget struct {
 	delay      time.Duration
 	mutex      sync.Mutex
 	executions map[string]int
@@ -19,84 +20,85 @@
 	running    int
 }
 
-// NewDesk returns a desk whose calls take the given time.
-func NewDesk(delay time.Duration) *Desk {
-	return &Desk{delay: delay, executions: make(map[string]int)}
+// NewDesk returns a target that responds to each call after a delay.
+func NewDesk(delay time.Duration) *PlainTarget {
+	return &PlainTarget{delay: delay, executions: make(map[string]int)}
 }
 
-// Handler returns the desk's interface.
-func (desk *Desk) Handler() http.Handler {
+// Handler returns the HTTP interface of the target.
+func (target *PlainTarget) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /letters", desk.serveExecute)
-	mux.HandleFunc("POST /bookings", desk.serveExecute)
-	mux.HandleFunc("GET /letters/{id}", desk.serveStatus)
-	mux.HandleFunc("GET /addresses/{id}", desk.serveStatus)
-	mux.HandleFunc("GET /executions", desk.serveExecutions)
-	mux.HandleFunc("GET /v1/load", desk.serveLoad)
+	mux.HandleFunc("POST /letters", target.serveExecute)
+	mux.HandleFunc("POST /bookings", target.serveExecute)
+	mux.HandleFunc("GET /letters/{id}", target.serveStatus)
+	mux.HandleFunc("GET /addresses/{id}", target.serveStatus)
+	mux.HandleFunc("GET /executions", target.serveExecutions)
+	mux.HandleFunc("GET /v1/load", target.serveLoad)
 	return mux
 }
 
-// Executions returns how often a request was executed.
-func (desk *Desk) Executions(request string) int {
-	desk.mutex.Lock()
-	defer desk.mutex.Unlock()
-	return desk.executions[request]
+// Executions returns the number of executions of a request.
+func (target *PlainTarget) Executions(request string) int {
+	target.mutex.Lock()
+	defer target.mutex.Unlock()
+	return target.executions[request]
 }
 
-// Most returns the highest number of executions of one request and the number
-// of requests executed.
-func (desk *Desk) Most() (most, requests int) {
-	desk.mutex.Lock()
-	defer desk.mutex.Unlock()
-	for _, count := range desk.executions {
-		most = max(most, count)
+// ExecutionCounts returns the highest number of executions of one request and the
+// number of requests executed.
+func (target *PlainTarget) ExecutionCounts() (highest, requests int) {
+	target.mutex.Lock()
+	defer target.mutex.Unlock()
+	for _, count := range target.executions {
+		highest = max(highest, count)
 	}
-	return most, len(desk.executions)
+	return highest, len(target.executions)
 }
 
 const requestHeader = "Berylspoke-Request"
 
-func (desk *Desk) begin(change int) {
-	desk.mutex.Lock()
-	desk.running += change
-	desk.mutex.Unlock()
+// addRunning adds to the number of running calls.
+func (target *PlainTarget) addRunning(change int) {
+	target.mutex.Lock()
+	target.running += change
+	target.mutex.Unlock()
 }
 
-func (desk *Desk) serveExecute(writer http.ResponseWriter, request *http.Request) {
-	desk.begin(1)
-	defer desk.begin(-1)
+func (target *PlainTarget) serveExecute(writer http.ResponseWriter, request *http.Request) {
+	target.addRunning(1)
+	defer target.addRunning(-1)
 	id := request.Header.Get(requestHeader)
 	body, err := io.ReadAll(request.Body)
 	if err != nil {
 		return
 	}
-	desk.mutex.Lock()
-	desk.executions[id]++
-	desk.total++
-	number := desk.total
-	desk.mutex.Unlock()
-	time.Sleep(desk.delay)
+	target.mutex.Lock()
+	target.executions[id]++
+	target.total++
+	number := target.total
+	target.mutex.Unlock()
+	time.Sleep(target.delay)
 	writer.Header().Set(requestHeader, id)
 	writer.WriteHeader(http.StatusCreated)
 	_, _ = fmt.Fprintf(writer, `{"number":%d,"bytes":%d}`+"\n", number, len(body))
 }
 
-func (desk *Desk) serveStatus(writer http.ResponseWriter, request *http.Request) {
-	desk.begin(1)
-	defer desk.begin(-1)
-	time.Sleep(desk.delay)
+func (target *PlainTarget) serveStatus(writer http.ResponseWriter, request *http.Request) {
+	target.addRunning(1)
+	defer target.addRunning(-1)
+	time.Sleep(target.delay)
 	writer.Header().Set(requestHeader, request.Header.Get(requestHeader))
-	answer(writer, map[string]string{"id": request.PathValue("id"), "status": "filed"})
+	writeJSON(writer, map[string]string{"id": request.PathValue("id"), "status": "filed"})
 }
 
-func (desk *Desk) serveExecutions(writer http.ResponseWriter, _ *http.Request) {
-	desk.mutex.Lock()
-	defer desk.mutex.Unlock()
-	answer(writer, desk.executions)
+func (target *PlainTarget) serveExecutions(writer http.ResponseWriter, _ *http.Request) {
+	target.mutex.Lock()
+	defer target.mutex.Unlock()
+	writeJSON(writer, target.executions)
 }
 
-func (desk *Desk) serveLoad(writer http.ResponseWriter, _ *http.Request) {
-	desk.mutex.Lock()
-	defer desk.mutex.Unlock()
-	answer(writer, map[string]int{"running": desk.running, "waiting": 0})
+func (target *PlainTarget) serveLoad(writer http.ResponseWriter, _ *http.Request) {
+	target.mutex.Lock()
+	defer target.mutex.Unlock()
+	writeJSON(writer, map[string]int{"running": target.running, "waiting": 0})
 }
--- a/io/berylstand/doc.go
+++ b/io/berylstand/doc.go
@@ -1,5 +1,5 @@
-// Package berylstand holds small stand-ins for what surrounds the fleet: the
-// platform, model engines and plain services, and a relay that cuts or
-// swallows what passes between processes. They serve tests, the demo and
-// measurements, and speak the protocols that the real ones publish.
+// Package berylstand provides small fakes of what surrounds the fleet: the
+// platform, model engines and plain services, and relays that drop or delay the
+// traffic between processes. They serve tests, the demo and measurements, and speak
+// the protocols that the real systems publish.
 package berylstand
--- a/io/berylstand/engine.go
+++ b/io/berylstand/engine.go
@@ -1,6 +1,6 @@
 package berylstand
 
-// This file defines the stand-in of a model engine.
+// This file defines the fake of a model engine.
 
 import (
 	"context"
@@ -18,31 +18,32 @@
 	"berylspoke"
 )
 
-// EngineOptions are the speed and the size of an engine.
+// EngineOptions set the speed and the size of an engine.
 type EngineOptions struct {
-	// Slots is the largest batch; more requests wait inside the engine.
+	// Slots is the maximum batch size; further requests wait inside the engine.
 	Slots int
-	// Step is the time of one token of a batch of one; each further request in
-	// the batch adds StepEach.
-	Step, StepEach time.Duration
-	// Prefill is the time to read one prompt token that is not cached.
-	Prefill time.Duration
-	// CachedPrefixes bounds the prefix cache.
-	CachedPrefixes int
-	// ReportLag is the age of the load report.
-	ReportLag time.Duration
-	// ChunkTokens is the number of tokens of one line.
+	// StepTime is the time of a decoding step of a batch of one; each further request
+	// in the batch adds StepTimePerRequest.
+	StepTime, StepTimePerRequest time.Duration
+	// PrefillPerToken is the time to prefill a prompt token that is not cached.
+	PrefillPerToken time.Duration
+	// MaxCachedPrefixes is the capacity of the prefix cache.
+	MaxCachedPrefixes int
+	// ReportInterval is the time between two updates of the load report.
+	ReportInterval time.Duration
+	// ChunkTokens is the number of tokens in one line of the stream.
 	ChunkTokens int
-	// IgnoreFence makes the engine take orders with an old fencing number.
+	// IgnoreFence makes the engine accept orders with an old fencing number.
 	IgnoreFence bool
 }
 
-// DefaultEngineOptions returns a small engine of 30 ms a token.
+// DefaultEngineOptions returns the options of a small engine, which takes about 30 ms a
+// token at a full batch.
 func DefaultEngineOptions() EngineOptions {
 	return EngineOptions{
-		Slots: 8, Step: 20 * time.Millisecond, StepEach: time.Millisecond,
-		Prefill: 100 * time.Microsecond, CachedPrefixes: 64,
-		ReportLag: 500 * time.Millisecond, ChunkTokens: 1,
+		Slots: 8, StepTime: 20 * time.Millisecond, StepTimePerRequest: time.Millisecond,
+		PrefillPerToken: 100 * time.Microsecond, MaxCachedPrefixes: 64,
+		ReportInterval: 500 * time.Millisecond, ChunkTokens: 1,
 	}
 }
 
@@ -64,7 +65,7 @@
 type engineLoad struct {
 	Running int              `json:"running"`
 	Waiting int              `json:"waiting"`
-	Held    berylspoke.Order `json:"held"`
+	Order   berylspoke.Order `json:"held"`
 }
 
 type cacheEvent struct {
@@ -73,31 +74,37 @@
 	Evicted bool   `json:"evicted"`
 }
 
-// Engine generates deterministic text in a continuous batch.
+// Engine generates deterministic text with continuous batching.
 type Engine struct {
-	options  EngineOptions
-	slots    chan struct{}
-	mutex    sync.Mutex
-	running  int
-	waiting  int
-	produced map[string]int64
-	finished []string
-	// tokens is all that was ever generated, for measurements of utilisation.
-	tokens    int64
-	busy      time.Duration
-	busySince time.Time
-	load      engineLoad
-	held      berylspoke.Order
-	prefixes  []uint64
-	events    []cacheEvent
+	options EngineOptions
+	slots   chan struct{}
+	mutex   sync.Mutex
+	running int
+	waiting int
+	// produced is the number of tokens generated for each request, requestIDs the ids of
+	// these requests in the order of their arrival.
+	produced   map[string]int64
+	requestIDs []string
+	// tokens is the number of tokens generated in total, slotTime the sum of the times
+	// for which slots were in use, up to slotTimeUpdated.
+	tokens          int64
+	slotTime        time.Duration
+	slotTimeUpdated time.Time
+	// report is the load report, updated by Run.
+	report engineLoad
+	// order is the last order accepted.
+	order berylspoke.Order
+	// prefixes are the hashes of the cached prefixes, least recently used first.
+	prefixes []uint64
+	events   []cacheEvent
 }
 
-// NewEngine returns an engine without load.
+// NewEngine returns an idle engine.
 func NewEngine(options EngineOptions) *Engine {
 	return &Engine{options: options, slots: make(chan struct{}, options.Slots), produced: make(map[string]int64)}
 }
 
-// Handler returns the engine's interface.
+// Handler returns the HTTP interface of the engine.
 func (engine *Engine) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/generate", engine.serveGenerate)
@@ -109,12 +116,12 @@
 	return mux
 }
 
-// keptRequests bounds the finished requests whose progress is remembered.
-const keptRequests = 4096
+// maxTrackedRequests bounds the requests whose progress is kept.
+const maxTrackedRequests = 4096
 
-// Run publishes the load report with its lag until the context ends.
+// Run updates the load report in each interval until the context ends.
 func (engine *Engine) Run(ctx context.Context) {
-	ticker := time.NewTicker(max(engine.options.ReportLag, 10*time.Millisecond))
+	ticker := time.NewTicker(max(engine.options.ReportInterval, 10*time.Millisecond))
 	defer ticker.Stop()
 	for {
 		select {
@@ -122,36 +129,38 @@
 			return
 		case <-ticker.C:
 			engine.mutex.Lock()
-			engine.load = engineLoad{Running: engine.running, Waiting: engine.waiting, Held: engine.held}
+			engine.report = engineLoad{Running: engine.running, Waiting: engine.waiting, Order: engine.order}
 			engine.mutex.Unlock()
 		}
 	}
 }
 
-var tokensWanted = regexp.MustCompile(`\[tokens=(\d+)\]`)
+var lengthPattern = regexp.MustCompile(`\[tokens=(\d+)\]`)
 
-// Length returns the number of tokens that a prompt yields; a prompt may name it.
-func Length(prompt string, most int64) int64 {
+// OutputLength returns the number of tokens generated for a prompt, at most maxTokens if
+// that is positive. A prompt sets it with "[tokens=N]"; otherwise it is 20 to 199,
+// derived from a hash of the prompt.
+func OutputLength(prompt string, maxTokens int64) int64 {
 	length := int64(20 + xxhash.Sum64String(prompt)%180)
-	if match := tokensWanted.FindStringSubmatch(prompt); match != nil {
+	if match := lengthPattern.FindStringSubmatch(prompt); match != nil {
 		length, _ = strconv.ParseInt(match[1], 10, 64)
 	}
-	if most > 0 {
-		length = min(length, most)
+	if maxTokens > 0 {
+		length = min(length, maxTokens)
 	}
 	return length
 }
 
-// Token returns one token of a prompt's text.
-func Token(prompt string, index int64) string {
+// OutputToken returns a token of the text generated for a prompt.
+func OutputToken(prompt string, index int64) string {
 	return fmt.Sprintf("w%d ", xxhash.Sum64String(fmt.Sprintf("%s#%d", prompt, index))%10000)
 }
 
-// Text returns the whole text that a prompt yields.
-func Text(prompt string, most int64) string {
+// Text returns the whole text generated for a prompt.
+func Text(prompt string, maxTokens int64) string {
 	var text strings.Builder
-	for index := range Length(prompt, most) {
-		text.WriteString(Token(prompt, index))
+	for index := range OutputLength(prompt, maxTokens) {
+		text.WriteString(OutputToken(prompt, index))
 	}
 	return text.String()
 }
@@ -163,18 +172,18 @@
 		return
 	}
 	ctx := request.Context()
-	engine.note(body.Request, body.Offset)
-	engine.count(&engine.waiting, 1)
+	engine.recordProgress(body.Request, body.Offset)
+	engine.add(&engine.waiting, 1)
 	select {
 	case <-ctx.Done():
-		engine.count(&engine.waiting, -1)
+		engine.add(&engine.waiting, -1)
 		return
 	case engine.slots <- struct{}{}:
 	}
-	engine.count(&engine.waiting, -1)
-	engine.setRunning(1)
+	engine.add(&engine.waiting, -1)
+	engine.addRunning(1)
 	defer func() {
-		engine.setRunning(-1)
+		engine.addRunning(-1)
 		<-engine.slots
 	}()
 	if !sleep(ctx, engine.prefill(body.Prompt)) {
@@ -183,35 +192,38 @@
 	engine.generate(ctx, writer, body)
 }
 
-func (engine *Engine) count(counter *int, change int) {
+// add adds to a counter.
+func (engine *Engine) add(counter *int, change int) {
 	engine.mutex.Lock()
 	*counter += change
 	engine.mutex.Unlock()
 }
 
-// setRunning changes the batch and sums the slot time used.
-func (engine *Engine) setRunning(change int) {
+// addRunning changes the batch size after it has added the slot time used until now.
+func (engine *Engine) addRunning(change int) {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
 	now := time.Now()
-	engine.busy += time.Duration(engine.running) * now.Sub(engine.busySince)
-	engine.busySince = now
+	engine.slotTime += time.Duration(engine.running) * now.Sub(engine.slotTimeUpdated)
+	engine.slotTimeUpdated = now
 	engine.running += change
 }
 
-func (engine *Engine) note(id string, produced int64) {
+// recordProgress records the progress of a request.
+func (engine *Engine) recordProgress(id string, produced int64) {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
 	if _, known := engine.produced[id]; !known {
-		engine.finished = append(engine.finished, id)
-		if len(engine.finished) > keptRequests {
-			delete(engine.produced, engine.finished[0])
-			engine.finished = engine.finished[1:]
+		engine.requestIDs = append(engine.requestIDs, id)
+		if len(engine.requestIDs) > maxTrackedRequests {
+			delete(engine.produced, engine.requestIDs[0])
+			engine.requestIDs = engine.requestIDs[1:]
 		}
 	}
 	engine.produced[id] = produced
 }
 
+// sleep waits and returns false if the context ends first.
 func sleep(ctx context.Context, duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
@@ -223,7 +235,8 @@
 	}
 }
 
-// prefill returns the time to read a prompt and caches its prefix.
+// prefill caches the prefix of a prompt and returns the time to prefill the prompt; with
+// a cached prefix, that of a tenth of its tokens.
 func (engine *Engine) prefill(prompt string) time.Duration {
 	tokens := len(prompt) / 4
 	prefix := xxhash.Sum64String(prompt[:min(len(prompt), 512)])
@@ -232,47 +245,48 @@
 	for i, cached := range engine.prefixes {
 		if cached == prefix {
 			engine.prefixes = append(append(engine.prefixes[:i:i], engine.prefixes[i+1:]...), prefix)
-			return time.Duration(tokens/10) * engine.options.Prefill
+			return time.Duration(tokens/10) * engine.options.PrefillPerToken
 		}
 	}
 	engine.prefixes = append(engine.prefixes, prefix)
 	engine.events = append(engine.events, cacheEvent{Number: uint64(len(engine.events) + 1), Prefix: prefix})
-	if len(engine.prefixes) > engine.options.CachedPrefixes {
+	if len(engine.prefixes) > engine.options.MaxCachedPrefixes {
 		evicted := engine.prefixes[0]
 		engine.prefixes = engine.prefixes[1:]
 		engine.events = append(engine.events, cacheEvent{uint64(len(engine.events) + 1), evicted, true})
 	}
-	return time.Duration(tokens) * engine.options.Prefill
+	return time.Duration(tokens) * engine.options.PrefillPerToken
 }
 
-// step returns the time of one token at the present batch.
-func (engine *Engine) step() time.Duration {
+// stepTime returns the time of a decoding step at the current batch size.
+func (engine *Engine) stepTime() time.Duration {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
-	return engine.options.Step + time.Duration(engine.running-1)*engine.options.StepEach
+	return engine.options.StepTime + time.Duration(engine.running-1)*engine.options.StepTimePerRequest
 }
 
-// generate goes on at the engine's pace even if the connection takes nothing,
-// as a real engine does until it sees a cancel.
+// generate produces tokens at the engine's speed even while the client does not read,
+// until the buffers of the connection are full. Like a real engine, it stops when it
+// notices that the request is cancelled.
 func (engine *Engine) generate(ctx context.Context, writer http.ResponseWriter, body engineRequest) {
 	encoder := json.NewEncoder(writer)
 	flusher, _ := writer.(http.Flusher)
-	length := Length(body.Prompt, body.MaxTokens)
+	length := OutputLength(body.Prompt, body.MaxTokens)
 	next := body.Offset
 	for next < length {
 		count := min(int64(max(engine.options.ChunkTokens, 1)), length-next)
-		if !sleep(ctx, engine.step()*time.Duration(count)) {
+		if !sleep(ctx, engine.stepTime()*time.Duration(count)) {
 			return
 		}
 		var text strings.Builder
 		for index := next; index < next+count; index++ {
-			text.WriteString(Token(body.Prompt, index))
+			text.WriteString(OutputToken(body.Prompt, index))
 		}
 		if encoder.Encode(engineLine{body.Request, next, text.String(), count, false}) != nil {
 			return
 		}
 		next += count
-		engine.note(body.Request, next)
+		engine.recordProgress(body.Request, next)
 		engine.mutex.Lock()
 		engine.tokens += count
 		engine.mutex.Unlock()
@@ -291,13 +305,13 @@
 	if known {
 		state = "known"
 	}
-	answer(writer, map[string]any{"state": state, "produced": produced})
+	writeJSON(writer, map[string]any{"state": state, "produced": produced})
 }
 
 func (engine *Engine) serveLoad(writer http.ResponseWriter, _ *http.Request) {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
-	answer(writer, engine.load)
+	writeJSON(writer, engine.report)
 }
 
 func (engine *Engine) serveOrder(writer http.ResponseWriter, request *http.Request) {
@@ -308,52 +322,54 @@
 	}
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
-	if !engine.options.IgnoreFence && order.Fence < engine.held.Fence {
+	if !engine.options.IgnoreFence && order.Fence < engine.order.Fence {
 		http.Error(writer, "fencing number is old", http.StatusConflict)
 		return
 	}
-	engine.held = order
-	answer(writer, engine.held)
+	engine.order = order
+	writeJSON(writer, engine.order)
 }
 
-// Held returns the last order taken.
+// Held returns the last order accepted.
 func (engine *Engine) Held() berylspoke.Order {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
-	return engine.held
+	return engine.order
 }
 
-// serveEvents publishes cache events with gaps: every fifth is lost.
+// serveEvents returns cache events with gaps: every fifth is missing.
 func (engine *Engine) serveEvents(writer http.ResponseWriter, request *http.Request) {
 	after, _ := strconv.ParseUint(request.URL.Query().Get("after"), 10, 64)
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
-	news := []cacheEvent{}
+	page := []cacheEvent{}
 	for _, event := range engine.events {
 		if event.Number > after && event.Number%5 != 0 {
-			news = append(news, event)
+			page = append(page, event)
 		}
 	}
-	answer(writer, map[string]any{"events": news})
+	writeJSON(writer, map[string]any{"events": page})
 }
 
-// Stats are sums over an engine's life, for measurements.
+// Stats holds the totals since the start of an engine and its current load, for
+// measurements of utilisation.
 type Stats struct {
-	Tokens  int64         `json:"tokens"`
-	Busy    time.Duration `json:"busyNanos"`
-	Running int           `json:"running"`
-	Waiting int           `json:"waiting"`
-	Slots   int           `json:"slots"`
+	Tokens int64 `json:"tokens"`
+	// SlotTime is the sum of the times for which slots were in use.
+	SlotTime time.Duration `json:"busyNanos"`
+	Running  int           `json:"running"`
+	Waiting  int           `json:"waiting"`
+	Slots    int           `json:"slots"`
 }
 
-// Stats returns the sums up to now.
+// Stats returns the current statistics.
 func (engine *Engine) Stats() Stats {
-	engine.setRunning(0)
+	engine.addRunning(0)
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
-	return Stats{engine.tokens, engine.busy, engine.running, engine.waiting, engine.options.Slots}
+	return Stats{engine.tokens, engine.slotTime, engine.running, engine.waiting, engine.options.Slots}
 }
 
 func (engine *Engine) serveStats(writer http.ResponseWriter, _ *http.Request) {
-	answer(writer, engine.Stats())
+	writeJSON(writer, engine.Stats())
 }
--- a/io/berylstand/packetrelay.go
+++ b/io/berylstand/packetrelay.go
@@ -1,6 +1,6 @@
 package berylstand
 
-// This file defines relays of packets, which cut or swallow what passes between
+// This file defines relays of UDP packets that drop some of the packets between
 // processes.
 
 import (
@@ -10,41 +10,42 @@
 	"github.com/pkg/errors"
 )
 
-// Filter says whether a packet from one host to another passes.
+// Filter reports whether a packet from one host to another passes.
 type Filter func(fromHost, toHost string) bool
 
-// PacketRelay carries UDP packets to one address and back, as far as the filter
-// lets them pass; the two directions are asked apart.
+// PacketRelay forwards UDP packets to an upstream address and back if the filter lets
+// them pass, which it decides for each direction separately.
 type PacketRelay struct {
-	front    *net.UDPConn
-	back     *net.UDPAddr
-	filter   Filter
-	mutex    sync.Mutex
+	downstream *net.UDPConn
+	upstream   *net.UDPAddr
+	filter     Filter
+	mutex      sync.Mutex
+	// sessions are the upstream sockets by the address of the sender.
 	sessions map[string]*net.UDPConn
-	// forgotten are senders whose packets are swallowed for good.
-	forgotten map[string]bool
+	// blackholed are senders whose packets are dropped in both directions.
+	blackholed map[string]bool
 }
 
-// maxPacket is the largest packet relayed.
+// maxPacket is the size of the largest packet forwarded.
 const maxPacket = 2048
 
-// NewPacketRelay listens on front and relays to back.
-func NewPacketRelay(front, back string, filter Filter) (*PacketRelay, error) {
-	frontAddress, err := net.ResolveUDPAddr("udp", front)
+// NewPacketRelay starts a relay from a listen address to an upstream address.
+func NewPacketRelay(listen, upstream string, filter Filter) (*PacketRelay, error) {
+	listenAddress, err := net.ResolveUDPAddr("udp", listen)
 	if err != nil {
-		return nil, errors.Wrap(err, "relay address")
+		return nil, errors.Wrap(err, "relay has an invalid listen address")
 	}
-	backAddress, err := net.ResolveUDPAddr("udp", back)
+	upstreamAddress, err := net.ResolveUDPAddr("udp", upstream)
 	if err != nil {
-		return nil, errors.Wrap(err, "relayed address")
+		return nil, errors.Wrap(err, "relay has an invalid upstream address")
 	}
-	conn, err := net.ListenUDP("udp", frontAddress)
+	conn, err := net.ListenUDP("udp", listenAddress)
 	if err != nil {
 		return nil, errors.Wrap(err, "relay cannot listen")
 	}
 	relay := &PacketRelay{
-		front: conn, back: backAddress, filter: filter,
-		sessions: make(map[string]*net.UDPConn), forgotten: make(map[string]bool),
+		downstream: conn, upstream: upstreamAddress, filter: filter,
+		sessions: make(map[string]*net.UDPConn), blackholed: make(map[string]bool),
 	}
 	go relay.forward()
 	return relay, nil
@@ -53,11 +54,11 @@
 func (relay *PacketRelay) forward() {
 	buffer := make([]byte, maxPacket)
 	for {
-		size, from, err := relay.front.ReadFromUDP(buffer)
+		size, from, err := relay.downstream.ReadFromUDP(buffer)
 		if err != nil {
 			return
 		}
-		if !relay.filter(from.IP.String(), relay.back.IP.String()) {
+		if !relay.filter(from.IP.String(), relay.upstream.IP.String()) {
 			continue
 		}
 		if session := relay.session(from); session != nil {
@@ -66,18 +67,19 @@
 	}
 }
 
-// session returns the socket that stands for one sender.
+// session returns the upstream socket of a sender, which it opens on the first packet;
+// nil drops the packet.
 func (relay *PacketRelay) session(from *net.UDPAddr) *net.UDPConn {
 	relay.mutex.Lock()
 	defer relay.mutex.Unlock()
-	if relay.forgotten[from.String()] {
+	if relay.blackholed[from.String()] {
 		return nil
 	}
 	if session := relay.sessions[from.String()]; session != nil {
 		return session
 	}
-	local := relay.front.LocalAddr().(*net.UDPAddr)
-	session, err := net.DialUDP("udp", &net.UDPAddr{IP: local.IP}, relay.back)
+	local := relay.downstream.LocalAddr().(*net.UDPAddr)
+	session, err := net.DialUDP("udp", &net.UDPAddr{IP: local.IP}, relay.upstream)
 	if err != nil {
 		return nil
 	}
@@ -94,34 +96,35 @@
 			return
 		}
 		if err != nil {
-			continue // the relayed process is down for now
+			continue // the upstream process is down
 		}
-		if relay.filter(relay.back.IP.String(), to.IP.String()) && !relay.swallows(to) {
-			_, _ = relay.front.WriteToUDP(buffer[:size], to)
+		if relay.filter(relay.upstream.IP.String(), to.IP.String()) && !relay.isBlackholed(to) {
+			_, _ = relay.downstream.WriteToUDP(buffer[:size], to)
 		}
 	}
 }
 
-func (relay *PacketRelay) swallows(sender *net.UDPAddr) bool {
+func (relay *PacketRelay) isBlackholed(sender *net.UDPAddr) bool {
 	relay.mutex.Lock()
 	defer relay.mutex.Unlock()
-	return relay.forgotten[sender.String()]
+	return relay.blackholed[sender.String()]
 }
 
-// Forget swallows from now on what the present senders' ports send and get, as
-// something does that lost track of their flows; other ports work.
+// Forget drops from now on all packets from and to the present senders' ports, as a
+// middlebox does that has lost the state of their flows; other ports are not affected.
+// It returns the number of these ports.
 func (relay *PacketRelay) Forget() int {
 	relay.mutex.Lock()
 	defer relay.mutex.Unlock()
 	for sender := range relay.sessions {
-		relay.forgotten[sender] = true
+		relay.blackholed[sender] = true
 	}
 	return len(relay.sessions)
 }
 
-// Close stops the relay.
+// Close stops the relay and closes its sockets.
 func (relay *PacketRelay) Close() {
-	_ = relay.front.Close()
+	_ = relay.downstream.Close()
 	relay.mutex.Lock()
 	defer relay.mutex.Unlock()
 	for _, session := range relay.sessions {
--- a/io/berylstand/platform.go
+++ b/io/berylstand/platform.go
@@ -1,6 +1,6 @@
 package berylstand
 
-// This file defines the stand-in of the platform's configuration service.
+// This file defines the fake of the platform's configuration service.
 
 import (
 	"context"
@@ -15,7 +15,7 @@
 	"berylspoke"
 )
 
-// callsPerSecond is the platform's limit across all readers.
+// callsPerSecond is the platform's rate limit for all readers together.
 const callsPerSecond = 2000
 
 type patchValue struct {
@@ -31,46 +31,48 @@
 	Leaving       bool                     `json:"leaving"`
 }
 
-// Platform holds what operators published and counts the calls of readers.
+// Platform holds the patches and the VMs published and counts the calls of readers.
 type Platform struct {
 	limiter *rate.Limiter
 	mutex   sync.Mutex
 	patches []patchValue
-	// shown is the number of patches readers see; a stale platform shows fewer
-	// than were published.
-	shown    int
+	// visible is the number of patches that readers see; on a stale platform it is less
+	// than the number published.
+	visible  int
 	vms      []vmValue
 	revision uint64
-	changed  chan struct{}
-	down     bool
-	calls    int
+	// changed is closed and replaced at each change.
+	changed chan struct{}
+	down    bool
+	calls   int
 }
 
-// NewPlatform returns a platform with nothing published.
+// NewPlatform returns a platform without patches and VMs.
 func NewPlatform() *Platform {
 	return &Platform{limiter: rate.NewLimiter(callsPerSecond, callsPerSecond), changed: make(chan struct{}), revision: 1}
 }
 
-// Publish appends a patch, as an operator does, and returns its number.
+// Publish appends a patch, as an operator does, makes all patches visible and returns
+// the number of the new one.
 func (platform *Platform) Publish(body []byte) uint64 {
 	platform.mutex.Lock()
 	defer platform.mutex.Unlock()
 	number := uint64(len(platform.patches) + 1)
 	platform.patches = append(platform.patches, patchValue{number, body})
-	platform.shown = len(platform.patches)
+	platform.visible = len(platform.patches)
 	platform.wake()
 	return number
 }
 
-// ShowOnly makes the platform stale: readers see only the first count patches.
+// ShowOnly makes the platform stale: readers see only the first patches.
 func (platform *Platform) ShowOnly(count int) {
 	platform.mutex.Lock()
 	defer platform.mutex.Unlock()
-	platform.shown = min(count, len(platform.patches))
+	platform.visible = min(count, len(platform.patches))
 	platform.wake()
 }
 
-// SetDown makes the platform answer nobody, or answer again.
+// SetDown sets whether the platform rejects all calls of readers.
 func (platform *Platform) SetDown(down bool) {
 	platform.mutex.Lock()
 	defer platform.mutex.Unlock()
@@ -90,33 +92,32 @@
 	platform.wake()
 }
 
-// Calls returns the number of calls answered or refused.
+// Calls returns the number of calls of readers, including the rejected ones.
 func (platform *Platform) Calls() int {
 	platform.mutex.Lock()
 	defer platform.mutex.Unlock()
 	return platform.calls
 }
 
-// wake ends all waits; the caller holds the mutex.
+// wake wakes all waiting readers; the caller holds the mutex.
 func (platform *Platform) wake() {
 	close(platform.changed)
 	platform.changed = make(chan struct{})
 }
 
-// Handler returns the platform's interface; publishing is the operators' part
-// of it.
+// Handler returns the HTTP interface of the platform, with publishing for operators.
 func (platform *Platform) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/patches", platform.read(platform.servePatches))
 	mux.HandleFunc("GET /v1/vms", platform.read(platform.serveVMs))
 	mux.HandleFunc("POST /v1/patches", platform.servePublish)
 	mux.HandleFunc("GET /v1/calls", func(writer http.ResponseWriter, _ *http.Request) {
-		answer(writer, map[string]int{"calls": platform.Calls()})
+		writeJSON(writer, map[string]int{"calls": platform.Calls()})
 	})
 	return mux
 }
 
-// read counts a call and refuses it when the platform is down or overrun.
+// read counts a call and rejects it if the platform is down or over its rate limit.
 func (platform *Platform) read(serve http.HandlerFunc) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
 		platform.mutex.Lock()
@@ -134,14 +135,15 @@
 	}
 }
 
-// wait blocks until the condition holds, the time is over or the reader leaves.
-func (platform *Platform) wait(request *http.Request, holds func() bool) {
+// wait blocks until the condition holds, the platform is down, waitMs has elapsed or
+// the reader disconnects.
+func (platform *Platform) wait(request *http.Request, condition func() bool) {
 	millis, _ := strconv.Atoi(request.URL.Query().Get("waitMs"))
 	ctx, cancel := context.WithTimeout(request.Context(), time.Duration(millis)*time.Millisecond)
 	defer cancel()
 	for {
 		platform.mutex.Lock()
-		done, changed := holds() || platform.down, platform.changed
+		done, changed := condition() || platform.down, platform.changed
 		platform.mutex.Unlock()
 		if done {
 			return
@@ -156,16 +158,16 @@
 
 func (platform *Platform) servePatches(writer http.ResponseWriter, request *http.Request) {
 	after, _ := strconv.Atoi(request.URL.Query().Get("after"))
-	platform.wait(request, func() bool { return platform.shown > after })
+	platform.wait(request, func() bool { return platform.visible > after })
 	platform.mutex.Lock()
 	defer platform.mutex.Unlock()
-	news := []patchValue{}
+	page := []patchValue{}
 	size := 0
-	for i := after; i < platform.shown && size < 1<<20; i++ {
-		news = append(news, platform.patches[i])
+	for i := after; i < platform.visible && size < 1<<20; i++ {
+		page = append(page, platform.patches[i])
 		size += len(platform.patches[i].Body)
 	}
-	answer(writer, map[string]any{"patches": news})
+	writeJSON(writer, map[string]any{"patches": page})
 }
 
 func (platform *Platform) serveVMs(writer http.ResponseWriter, request *http.Request) {
@@ -173,7 +175,7 @@
 	platform.wait(request, func() bool { return platform.revision != after })
 	platform.mutex.Lock()
 	defer platform.mutex.Unlock()
-	answer(writer, map[string]any{"revision": platform.revision, "vms": platform.vms})
+	writeJSON(writer, map[string]any{"revision": platform.revision, "vms": platform.vms})
 }
 
 func (platform *Platform) servePublish(writer http.ResponseWriter, request *http.Request) {
@@ -182,5 +184,5 @@
 		http.Error(writer, "value is too large", http.StatusRequestEntityTooLarge)
 		return
 	}
-	answer(writer, map[string]uint64{"number": platform.Publish(body)})
+	writeJSON(writer, map[string]uint64{"number": platform.Publish(body)})
 }
--- a/io/berylstand/streamrelay.go
+++ b/io/berylstand/streamrelay.go
@@ -1,6 +1,6 @@
 package berylstand
 
-// This file defines relays of TCP connections that harm what passes.
+// This file defines relays of TCP connections that inject network faults.
 
 import (
 	"io"
@@ -12,113 +12,115 @@
 	"github.com/pkg/errors"
 )
 
-// Harm is what a relay does to the connections that pass it.
+// Harm is the impairment of the connections through a relay.
 type Harm struct {
-	// Delay is added to each piece that passes.
+	// Delay is added before each chunk of data is forwarded.
 	Delay time.Duration
-	// SwallowForth and SwallowBack drop what passes towards the relayed address
-	// and from it, without an error at either end.
+	// SwallowForth and SwallowBack drop the data towards the upstream address and from
+	// it, without an error at either end.
 	SwallowForth, SwallowBack bool
 	// Refuse resets new connections.
 	Refuse bool
 }
 
-// StreamRelay carries TCP connections to one address and can harm them, or forget
-// them: what passes is then swallowed without an error, while new ones work.
+// StreamRelay forwards TCP connections to an upstream address and can impair them. It
+// can also drop all data of the open connections without an error while new connections
+// work.
 type StreamRelay struct {
-	listener net.Listener
-	back     string
-	harm     atomic.Pointer[Harm]
-	mutex    sync.Mutex
-	open     map[*relayed]bool
+	listener   net.Listener
+	upstream   string
+	impairment atomic.Pointer[Harm]
+	mutex      sync.Mutex
+	pairs      map[*connPair]bool
 }
 
-type relayed struct {
-	relay       *StreamRelay
-	front, back net.Conn
-	forgotten   atomic.Bool
+// connPair is a connection of a client with the one to the upstream address.
+type connPair struct {
+	relay                *StreamRelay
+	downstream, upstream net.Conn
+	blackholed           atomic.Bool
 }
 
-// NewStreamRelay listens on front and relays to back.
-func NewStreamRelay(front, back string) (*StreamRelay, error) {
-	listener, err := net.Listen("tcp", front)
+// NewStreamRelay starts a relay from a listen address to an upstream address.
+func NewStreamRelay(listen, upstream string) (*StreamRelay, error) {
+	listener, err := net.Listen("tcp", listen)
 	if err != nil {
 		return nil, errors.Wrap(err, "relay cannot listen")
 	}
-	relay := &StreamRelay{listener: listener, back: back, open: make(map[*relayed]bool)}
-	relay.harm.Store(new(Harm))
+	relay := &StreamRelay{listener: listener, upstream: upstream, pairs: make(map[*connPair]bool)}
+	relay.impairment.Store(new(Harm))
 	go relay.accept()
 	return relay, nil
 }
 
-// Address returns where the relay listens.
+// Address returns the listen address.
 func (relay *StreamRelay) Address() string { return relay.listener.Addr().String() }
 
-// SetHarm sets what is done to all connections from now on.
-func (relay *StreamRelay) SetHarm(harm Harm) { relay.harm.Store(&harm) }
+// SetHarm sets the impairment of all connections, open and new.
+func (relay *StreamRelay) SetHarm(impairment Harm) { relay.impairment.Store(&impairment) }
 
 func (relay *StreamRelay) accept() {
 	for {
-		front, err := relay.listener.Accept()
+		downstream, err := relay.listener.Accept()
 		if err != nil {
 			return
 		}
-		if relay.harm.Load().Refuse {
-			reset(front)
+		if relay.impairment.Load().Refuse {
+			reset(downstream)
 			continue
 		}
-		back, err := net.Dial("tcp", relay.back)
+		upstream, err := net.Dial("tcp", relay.upstream)
 		if err != nil {
-			reset(front)
+			reset(downstream)
 			continue
 		}
-		pair := &relayed{relay: relay, front: front, back: back}
+		pair := &connPair{relay: relay, downstream: downstream, upstream: upstream}
 		relay.mutex.Lock()
-		relay.open[pair] = true
+		relay.pairs[pair] = true
 		relay.mutex.Unlock()
 		go pair.run()
 	}
 }
 
-// run carries both directions until both have ended.
-func (pair *relayed) run() {
+// run forwards both directions until both have ended.
+func (pair *connPair) run() {
 	done := make(chan struct{})
 	go func() {
-		pair.pipe(pair.front, pair.back, func(harm *Harm) bool { return harm.SwallowForth })
+		pair.pipe(pair.downstream, pair.upstream, func(impairment *Harm) bool { return impairment.SwallowForth })
 		close(done)
 	}()
-	pair.pipe(pair.back, pair.front, func(harm *Harm) bool { return harm.SwallowBack })
+	pair.pipe(pair.upstream, pair.downstream, func(impairment *Harm) bool { return impairment.SwallowBack })
 	<-done
-	_ = pair.front.Close()
-	_ = pair.back.Close()
+	_ = pair.downstream.Close()
+	_ = pair.upstream.Close()
 	pair.relay.mutex.Lock()
-	delete(pair.relay.open, pair)
+	delete(pair.relay.pairs, pair)
 	pair.relay.mutex.Unlock()
 }
 
-// pipe copies until an end; a forgotten connection goes on reading and passes
-// nothing on, not even its end.
-func (pair *relayed) pipe(from, to net.Conn, swallows func(*Harm) bool) {
+// pipe copies one direction until it ends. If data is dropped it continues to read but
+// forwards nothing, not even the end.
+func (pair *connPair) pipe(from, to net.Conn, drops func(*Harm) bool) {
 	buffer := make([]byte, 32<<10)
-	swallowed := false
+	dropping := false
 	for {
 		size, err := from.Read(buffer)
-		harm := pair.relay.harm.Load()
-		// What was swallowed once is missing for good, so nothing later may pass:
-		// a network loses the rest of a connection, never bytes in its middle.
-		swallowed = swallowed || pair.forgotten.Load() || swallows(harm)
-		if swallowed {
+		impairment := pair.relay.impairment.Load()
+		// Dropped data is never retransmitted, so nothing after it may be forwarded: a
+		// network loses the rest of a TCP connection, never bytes in its middle.
+		dropping = dropping || pair.blackholed.Load() || drops(impairment)
+		if dropping {
 			if err != nil {
 				return
 			}
 			continue
 		}
-		if harm.Delay > 0 {
-			time.Sleep(harm.Delay)
+		if impairment.Delay > 0 {
+			time.Sleep(impairment.Delay)
 		}
 		if size > 0 {
-			if _, failed := to.Write(buffer[:size]); failed != nil {
-				err = failed
+			if _, writeErr := to.Write(buffer[:size]); writeErr != nil {
+				err = writeErr
 			}
 		}
 		if err == io.EOF {
@@ -132,7 +134,7 @@
 	}
 }
 
-// reset closes a connection so that the other end sees a reset.
+// reset closes a connection so that the peer receives an RST.
 func reset(conn net.Conn) {
 	_ = conn.(*net.TCPConn).SetLinger(0)
 	_ = conn.Close()
@@ -142,24 +144,24 @@
 func (relay *StreamRelay) Reset() int {
 	relay.mutex.Lock()
 	defer relay.mutex.Unlock()
-	for pair := range relay.open {
-		reset(pair.front)
-		reset(pair.back)
+	for pair := range relay.pairs {
+		reset(pair.downstream)
+		reset(pair.upstream)
 	}
-	return len(relay.open)
+	return len(relay.pairs)
 }
 
-// Forget makes all open connections silent for good and returns their number.
+// Forget drops all further data of the open connections and returns their number.
 func (relay *StreamRelay) Forget() int {
 	relay.mutex.Lock()
 	defer relay.mutex.Unlock()
-	for pair := range relay.open {
-		pair.forgotten.Store(true)
+	for pair := range relay.pairs {
+		pair.blackholed.Store(true)
 	}
-	return len(relay.open)
+	return len(relay.pairs)
 }
 
-// Close stops the relay and its connections.
+// Close stops the relay and resets its connections.
 func (relay *StreamRelay) Close() {
 	_ = relay.listener.Close()
 	relay.Reset()
