--- a/io/berylfleet/embedded.go
+++ b/io/berylfleet/embedded.go
@@ -1,6 +1,6 @@
 package berylfleet
 
-// This file defines a fleet whose daemons run within one process.
+// This file defines a fleet whose daemons run in one process.
 
 import (
 	"context"
@@ -14,22 +14,22 @@
 	"berylspoke/io/berylsettings"
 )
 
-// Embedded is a deployment within one process.
+// Embedded is a deployment in one process: fakes and daemons.
 type Embedded struct {
 	*Stands
 	Daemons map[berylspoke.VMID]*berylserve.Daemon
 	log     *zap.Logger
-	change  func(*berylsettings.Settings)
+	modify  func(*berylsettings.Settings)
 }
 
-// StartEmbedded starts stand-ins and daemons; change may alter the settings of
-// each daemon and may be nil.
-func StartEmbedded(plan Plan, log *zap.Logger, change func(*berylsettings.Settings)) (*Embedded, error) {
-	stands, err := StartStands(plan)
+// StartEmbedded starts fakes and daemons; modify, if not nil, changes the settings of
+// each daemon.
+func StartEmbedded(plan Plan, log *zap.Logger, modify func(*berylsettings.Settings)) (*Embedded, error) {
+	fakes, err := StartStands(plan)
 	if err != nil {
 		return nil, err
 	}
-	fleet := &Embedded{Stands: stands, Daemons: make(map[berylspoke.VMID]*berylserve.Daemon), log: log, change: change}
+	fleet := &Embedded{Stands: fakes, Daemons: make(map[berylspoke.VMID]*berylserve.Daemon), log: log, modify: modify}
 	for _, vm := range plan.VMs() {
 		if err := fleet.StartDaemon(vm); err != nil {
 			fleet.Close()
@@ -39,11 +39,11 @@
 	return fleet, nil
 }
 
-// StartDaemon starts, or starts again, the daemon of one VM.
+// StartDaemon starts or restarts the daemon of a VM.
 func (fleet *Embedded) StartDaemon(vm berylspoke.VM) error {
 	settings := fleet.Plan.Settings(vm)
-	if fleet.change != nil {
-		fleet.change(settings)
+	if fleet.modify != nil {
+		fleet.modify(settings)
 	}
 	daemon, err := berylserve.Start(settings, fleet.log)
 	if err != nil {
@@ -53,10 +53,11 @@
 	return nil
 }
 
-// lookEvery is the time between two looks while waiting for a condition.
-const lookEvery = 20 * time.Millisecond
+// pollInterval is the time between two checks of a condition that is waited for.
+const pollInterval = 20 * time.Millisecond
 
-// WaitReady waits until every daemon serves the given version.
+// WaitReady waits until every daemon is ready, knows all members and has at least the
+// given configuration version in force.
 func (fleet *Embedded) WaitReady(ctx context.Context, version berylspoke.ConfigVersion) error {
 	for _, daemon := range fleet.Daemons {
 		for {
@@ -64,18 +65,19 @@
 			if err != nil {
 				return errors.Wrapf(err, "daemon of %s is not ready", daemon.VM())
 			}
-			if state.Ready && state.Version >= version && fleet.known(len(state.Members)) {
+			if state.Ready && state.Version >= version && fleet.isComplete(len(state.Members)) {
 				break
 			}
-			time.Sleep(lookEvery)
+			time.Sleep(pollInterval)
 		}
 	}
 	return nil
 }
 
-func (fleet *Embedded) known(members int) bool { return members >= len(fleet.Plan.VMs()) }
+// isComplete reports whether a number of members is all of them.
+func (fleet *Embedded) isComplete(members int) bool { return members >= len(fleet.Plan.VMs()) }
 
-// Close stops everything.
+// Close kills the daemons and stops the fakes.
 func (fleet *Embedded) Close() {
 	for _, daemon := range fleet.Daemons {
 		daemon.Kill()
--- a/io/berylfleet/plan.go
+++ b/io/berylfleet/plan.go
@@ -1,6 +1,6 @@
 package berylfleet
 
-// This file defines the plans of the two deployments.
+// This file defines the plans of two deployments.
 
 import (
 	"crypto/sha256"
@@ -17,67 +17,71 @@
 	"berylspoke/io/berylstand"
 )
 
-// Area is a failure domain with its VMs and targets.
-type Area struct {
-	Domain  berylspoke.FailureDomain
-	Region  berylspoke.Region
-	VMs     int
-	Engines int
-	Desks   int
+// DomainPlan is a failure domain with its numbers of VMs and targets.
+type DomainPlan struct {
+	Domain       berylspoke.FailureDomain
+	Region       berylspoke.Region
+	VMs          int
+	Engines      int
+	PlainTargets int
 }
 
-// Plan is one deployment.
+// Plan describes a deployment.
 type Plan struct {
-	Name    string
-	Areas   []Area
-	Model   berylspoke.ServiceID
-	Desk    berylspoke.ServiceID
-	Large   int
-	Small   int
-	Engine  berylstand.EngineOptions
+	Name  string
+	Areas []DomainPlan
+	// Model is the id of the model service, Desk that of the plain service.
+	Model berylspoke.ServiceID
+	Desk  berylspoke.ServiceID
+	// LargeOrganisations and SmallOrganisations are the numbers of organisations with a
+	// large and a small weight.
+	LargeOrganisations int
+	SmallOrganisations int
+	Engine             berylstand.EngineOptions
+	// DeskFor is the response time of the plain service.
 	DeskFor time.Duration
-	// Base is the second byte of the loopback network that the fleet uses.
+	// Base is the second byte of the loopback addresses that the deployment uses.
 	Base int
 }
 
-// Kitamine is the deployment of the Grievance Letter Drafting Fleet.
+// Kitamine returns the plan of the Grievance Letter Drafting Fleet.
 func Kitamine() Plan {
 	return Plan{
 		Name: "kitamine",
-		Areas: []Area{
+		Areas: []DomainPlan{
 			{"sapporo-a", "sapporo", 3, 4, 1},
 			{"sapporo-b", "sapporo", 3, 3, 1},
 			{"asahikawa-a", "asahikawa", 2, 2, 1},
 		},
-		Model: "drafting-models", Desk: "filing-desk", Large: 3, Small: 13,
+		Model: "drafting-models", Desk: "filing-desk", LargeOrganisations: 3, SmallOrganisations: 13,
 		Engine: berylstand.DefaultEngineOptions(), DeskFor: 20 * time.Millisecond,
 	}
 }
 
-// Parish is the deployment of the Newsletter Mailing Router Acceptance.
+// Parish returns the plan of the Newsletter Mailing Router Acceptance.
 func Parish() Plan {
 	return Plan{
 		Name: "parish",
-		Areas: []Area{
+		Areas: []DomainPlan{
 			{"kgn-a", "kingston", 3, 7, 1},
 			{"kgn-b", "kingston", 3, 6, 1},
 			{"mbj-a", "montego", 2, 5, 1},
 		},
-		Model: "pen-servers", Desk: "post-desk", Large: 3, Small: 13,
+		Model: "pen-servers", Desk: "post-desk", LargeOrganisations: 3, SmallOrganisations: 13,
 		Engine: berylstand.DefaultEngineOptions(), DeskFor: 20 * time.Millisecond,
 	}
 }
 
-// Plans maps the names of the deployments to their plans.
+// Plans returns the plans by the name of the deployment.
 func Plans() map[string]Plan {
 	return map[string]Plan{"kitamine": Kitamine(), "parish": Parish()}
 }
 
-// Scaled returns the plan with the given number of times its VMs and targets.
+// Scaled returns the plan with the numbers of VMs and targets multiplied by a factor.
 func (plan Plan) Scaled(factor int) Plan {
-	areas := make([]Area, len(plan.Areas))
+	areas := make([]DomainPlan, len(plan.Areas))
 	for i, area := range plan.Areas {
-		area.VMs, area.Engines, area.Desks = area.VMs*factor, area.Engines*factor, area.Desks*factor
+		area.VMs, area.Engines, area.PlainTargets = area.VMs*factor, area.Engines*factor, area.PlainTargets*factor
 		areas[i] = area
 	}
 	plan.Areas = areas
@@ -90,11 +94,12 @@
 	operatorPort = 7300
 	targetPort   = 7400
 	platformPort = 7000
-	// largeWeight is the weight of a large organisation; a small one has 1.
+	// largeWeight is the weight of a large organisation; a small one has weight 1.
 	largeWeight = 4
 )
 
-// FindBase returns a loopback network whose platform address is free.
+// FindBase returns the second byte of the first loopback network, from the given one on,
+// whose platform address is free.
 func FindBase(from int) (int, error) {
 	for base := from; base < 250; base++ {
 		listener, err := net.Listen("tcp", fmt.Sprintf("127.%d.0.1:%d", base, platformPort))
@@ -105,12 +110,12 @@
 	return 0, errors.New("no loopback network is free")
 }
 
-// PlatformAddress returns the address of the platform's stand-in.
+// PlatformAddress returns the address of the fake platform.
 func (plan Plan) PlatformAddress() string {
 	return fmt.Sprintf("127.%d.0.1:%d", plan.Base, platformPort)
 }
 
-// VMs lists the entry VMs.
+// VMs returns the VMs of the daemons.
 func (plan Plan) VMs() []berylspoke.VM {
 	var vms []berylspoke.VM
 	for _, area := range plan.Areas {
@@ -127,24 +132,24 @@
 	return vms
 }
 
-// Organisations lists the organisations, the large ones first.
+// Organisations returns the organisations, the large ones first.
 func (plan Plan) Organisations() []berylspoke.OrganisationID {
 	var ids []berylspoke.OrganisationID
-	for i := range plan.Large {
+	for i := range plan.LargeOrganisations {
 		ids = append(ids, berylspoke.OrganisationID(fmt.Sprintf("large-%d", i+1)))
 	}
-	for i := range plan.Small {
+	for i := range plan.SmallOrganisations {
 		ids = append(ids, berylspoke.OrganisationID(fmt.Sprintf("small-%d", i+1)))
 	}
 	return ids
 }
 
-// Key returns the key of an organisation of the plan.
+// Key returns the API key of an organisation.
 func (plan Plan) Key(organisation berylspoke.OrganisationID) string {
 	return fmt.Sprintf("key-of-%s-at-%s", organisation, plan.Name)
 }
 
-// Weight returns the weight of an organisation of the plan.
+// Weight returns the weight of an organisation.
 func (plan Plan) Weight(organisation berylspoke.OrganisationID) berylspoke.Weight {
 	if len(organisation) > 5 && organisation[:5] == "large" {
 		return largeWeight
@@ -178,10 +183,10 @@
 	return patch
 }
 
-// Targets lists the engines and desks.
+// Targets returns the engines and the targets of the plain service.
 func (plan Plan) Targets() map[berylspoke.TargetID]berylconfig.Target {
 	targets := make(map[berylspoke.TargetID]berylconfig.Target)
-	add := func(service berylspoke.ServiceID, area Area, name string) {
+	add := func(service berylspoke.ServiceID, area DomainPlan, name string) {
 		id := berylspoke.TargetID(fmt.Sprintf("%s-%s", area.Domain, name))
 		address := fmt.Sprintf("127.%d.2.%d:%d", plan.Base, len(targets)+1, targetPort)
 		targets[id] = berylconfig.Target{Service: service, Address: address, FailureDomain: area.Domain}
@@ -190,17 +195,17 @@
 		for i := range area.Engines {
 			add(plan.Model, area, fmt.Sprintf("engine-%d", i+1))
 		}
-		for i := range area.Desks {
+		for i := range area.PlainTargets {
 			add(plan.Desk, area, fmt.Sprintf("desk-%d", i+1))
 		}
 	}
 	return targets
 }
 
-// OperatorToken is the operators' token of every fleet on loopback.
+// OperatorToken is the operator token of every fleet on loopback.
 const OperatorToken = "operators-of-the-loopback-fleet"
 
-// Settings returns the settings of one VM's daemon.
+// Settings returns the settings of the daemon of a VM.
 func (plan Plan) Settings(vm berylspoke.VM) *berylsettings.Settings {
 	settings := berylsettings.Defaults()
 	key := sha256.Sum256([]byte("fleet key of " + plan.Name))
--- a/io/berylfleet/relays.go
+++ b/io/berylfleet/relays.go
@@ -1,6 +1,6 @@
 package berylfleet
 
-// This file defines relays between the daemons of a deployment.
+// This file defines relays of the traffic between the daemons of a deployment.
 
 import (
 	"fmt"
@@ -11,24 +11,25 @@
 	"berylspoke/io/berylstand"
 )
 
-// Relays stand before the peers' address of each VM and cut links on demand.
+// Relays forward the packets to the peer address of each VM and drop those between
+// partitioned VMs.
 type Relays struct {
-	plan   Plan
-	relays []*berylstand.PacketRelay
-	mutex  sync.RWMutex
-	vms    map[string]berylspoke.VM
-	cut    func(from, to berylspoke.VM) bool
+	plan        Plan
+	relays      []*berylstand.PacketRelay
+	mutex       sync.RWMutex
+	vms         map[string]berylspoke.VM
+	partitioned func(from, to berylspoke.VM) bool
 }
 
-// StartRelays starts a relay for each VM of the plan; the VMs that Advertised
-// lists point to them.
+// StartRelays starts a relay for each VM of the plan. Daemons use the relays if the
+// platform publishes the VMs that Advertised returns.
 func StartRelays(plan Plan) (*Relays, error) {
 	relays := &Relays{plan: plan, vms: make(map[string]berylspoke.VM)}
 	relays.Mend()
 	for i, vm := range plan.VMs() {
 		host, _, _ := net.SplitHostPort(vm.PeerAddress)
 		relays.vms[host] = vm
-		relay, err := berylstand.NewPacketRelay(relays.front(i), vm.PeerAddress, relays.passes)
+		relay, err := berylstand.NewPacketRelay(relays.listenAddress(i), vm.PeerAddress, relays.passes)
 		if err != nil {
 			relays.Close()
 			return nil, err
@@ -38,15 +39,16 @@
 	return relays, nil
 }
 
-func (relays *Relays) front(index int) string {
+// listenAddress returns the address of a relay.
+func (relays *Relays) listenAddress(index int) string {
 	return fmt.Sprintf("127.%d.3.%d:%d", relays.plan.Base, index+1, peerPort)
 }
 
-// Advertised lists the VMs with the addresses of their relays.
+// Advertised returns the VMs with the addresses of their relays as peer addresses.
 func (relays *Relays) Advertised() []berylspoke.VM {
 	vms := relays.plan.VMs()
 	for i := range vms {
-		vms[i].PeerAddress = relays.front(i)
+		vms[i].PeerAddress = relays.listenAddress(i)
 	}
 	return vms
 }
@@ -54,14 +56,14 @@
 func (relays *Relays) passes(from, to string) bool {
 	relays.mutex.RLock()
 	defer relays.mutex.RUnlock()
-	return !relays.cut(relays.vms[from], relays.vms[to])
+	return !relays.partitioned(relays.vms[from], relays.vms[to])
 }
 
-// Cut drops the packets from one VM to another for which it returns true.
-func (relays *Relays) Cut(cut func(from, to berylspoke.VM) bool) {
+// SetPartition drops the packets from one VM to another if partitioned returns true.
+func (relays *Relays) SetPartition(partitioned func(from, to berylspoke.VM) bool) {
 	relays.mutex.Lock()
 	defer relays.mutex.Unlock()
-	relays.cut = cut
+	relays.partitioned = partitioned
 }
 
 // CutRegions drops all packets between regions.
@@ -70,12 +72,12 @@
 	for _, area := range relays.plan.Areas {
 		regions[area.Domain] = area.Region
 	}
-	relays.Cut(func(from, to berylspoke.VM) bool { return regions[from.FailureDomain] != regions[to.FailureDomain] })
+	relays.SetPartition(func(from, to berylspoke.VM) bool { return regions[from.FailureDomain] != regions[to.FailureDomain] })
 }
 
-// Mend lets everything pass.
+// Mend ends the partition: all packets pass.
 func (relays *Relays) Mend() {
-	relays.Cut(func(berylspoke.VM, berylspoke.VM) bool { return false })
+	relays.SetPartition(func(berylspoke.VM, berylspoke.VM) bool { return false })
 }
 
 // Close stops the relays.
--- a/io/berylfleet/stands.go
+++ b/io/berylfleet/stands.go
@@ -1,6 +1,6 @@
 package berylfleet
 
-// This file defines the running stand-ins of a deployment.
+// This file defines the running fakes of a deployment.
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 	"berylspoke/io/berylstand"
 )
 
-// Stands are the stand-ins around a fleet.
+// Stands are the fakes around a fleet: the platform and the targets.
 type Stands struct {
 	Plan     Plan
 	Platform *berylstand.Platform
@@ -23,85 +23,85 @@
 	stop     context.CancelFunc
 }
 
-// StartStands starts the stand-ins of a plan and publishes its first patch.
+// StartStands starts the fakes of a plan and publishes its first patch.
 func StartStands(plan Plan) (*Stands, error) {
 	ctx, stop := context.WithCancel(context.Background())
-	stands := &Stands{
+	fakes := &Stands{
 		Plan: plan, Platform: berylstand.NewPlatform(), stop: stop,
 		Engines: make(map[berylspoke.TargetID]*berylstand.Engine),
 		Desks:   make(map[berylspoke.TargetID]*berylstand.PlainTarget),
 		servers: make(map[string]*berylstand.Server),
 	}
-	if err := stands.start(ctx); err != nil {
-		stands.Close()
+	if err := fakes.start(ctx); err != nil {
+		fakes.Close()
 		return nil, err
 	}
-	stands.Platform.SetVMs(plan.VMs())
+	fakes.Platform.SetVMs(plan.VMs())
 	body, err := json.Marshal(plan.Patch())
 	if err != nil {
-		stands.Close()
+		fakes.Close()
 		return nil, errors.Wrap(err, "first patch cannot be encoded")
 	}
-	stands.Platform.Publish(body)
-	return stands, nil
+	fakes.Platform.Publish(body)
+	return fakes, nil
 }
 
-func (stands *Stands) start(ctx context.Context) error {
-	server, err := berylstand.Listen(stands.Plan.PlatformAddress(), stands.Platform.Handler())
+func (fakes *Stands) start(ctx context.Context) error {
+	server, err := berylstand.Listen(fakes.Plan.PlatformAddress(), fakes.Platform.Handler())
 	if err != nil {
 		return err
 	}
-	stands.servers["platform"] = server
-	for id, target := range stands.Plan.Targets() {
-		if err := stands.startTarget(ctx, id, target); err != nil {
+	fakes.servers["platform"] = server
+	for id, target := range fakes.Plan.Targets() {
+		if err := fakes.startTarget(ctx, id, target); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (stands *Stands) startTarget(ctx context.Context, id berylspoke.TargetID, target berylconfig.Target) error {
+func (fakes *Stands) startTarget(ctx context.Context, id berylspoke.TargetID, target berylconfig.Target) error {
 	var server *berylstand.Server
 	var err error
-	if target.Service == stands.Plan.Model {
-		engine := berylstand.NewEngine(stands.Plan.Engine)
-		stands.Engines[id] = engine
+	if target.Service == fakes.Plan.Model {
+		engine := berylstand.NewEngine(fakes.Plan.Engine)
+		fakes.Engines[id] = engine
 		go engine.Run(ctx)
 		server, err = berylstand.Listen(target.Address, engine.Handler())
 	} else {
-		desk := berylstand.NewDesk(stands.Plan.DeskFor)
-		stands.Desks[id] = desk
-		server, err = berylstand.Listen(target.Address, desk.Handler())
+		plain := berylstand.NewDesk(fakes.Plan.DeskFor)
+		fakes.Desks[id] = plain
+		server, err = berylstand.Listen(target.Address, plain.Handler())
 	}
 	if err != nil {
 		return err
 	}
-	stands.servers[string(id)] = server
+	fakes.servers[string(id)] = server
 	return nil
 }
 
-// CloseTarget stops one target, as a crash would.
-func (stands *Stands) CloseTarget(id berylspoke.TargetID) {
-	if server := stands.servers[string(id)]; server != nil {
+// CloseTarget stops a target and closes its connections, as a crash does.
+func (fakes *Stands) CloseTarget(id berylspoke.TargetID) {
+	if server := fakes.servers[string(id)]; server != nil {
 		server.Close()
 	}
 }
 
-// Close stops the stand-ins.
-func (stands *Stands) Close() {
-	stands.stop()
-	for _, server := range stands.servers {
+// Close stops the fakes.
+func (fakes *Stands) Close() {
+	fakes.stop()
+	for _, server := range fakes.servers {
 		server.Close()
 	}
 }
 
-// Executions returns the highest number of executions of one id over all desks
-// and the number of ids executed.
-func (stands *Stands) Executions() (most, requests int) {
-	for _, desk := range stands.Desks {
-		deskMost, deskRequests := desk.ExecutionCounts()
-		most = max(most, deskMost)
-		requests += deskRequests
+// Executions returns the highest number of executions of one request at a target of
+// the plain service and the number of requests executed.
+func (fakes *Stands) Executions() (highest, requests int) {
+	for _, plain := range fakes.Desks {
+		targetHighest, targetRequests := plain.ExecutionCounts()
+		highest = max(highest, targetHighest)
+		requests += targetRequests
 	}
-	return most, requests
+	return highest, requests
 }
