--- a/io/berylload/fleet.go
+++ b/io/berylload/fleet.go
@@ -1,6 +1,6 @@
 package berylload
 
-// This file defines what the load tool knows of the fleet it drives.
+// This file defines the description of the fleet under load.
 
 import (
 	"sort"
@@ -9,21 +9,21 @@
 	"berylspoke/io/berylfleet"
 )
 
-// Entry is one daemon.
+// Entry is an entry daemon with its addresses.
 type Entry struct {
-	VM       berylspoke.VMID `json:"vm"`
-	Calls    string          `json:"callAddress"`
-	Operator string          `json:"operatorAddress"`
+	VM              berylspoke.VMID `json:"vm"`
+	CallAddress     string          `json:"callAddress"`
+	OperatorAddress string          `json:"operatorAddress"`
 }
 
-// Organisation is one tenant with its key.
+// Organisation is an organisation with its API key and weight.
 type Organisation struct {
 	ID     berylspoke.OrganisationID `json:"id"`
 	Key    string                    `json:"key"`
 	Weight berylspoke.Weight         `json:"weight"`
 }
 
-// Engine is one model engine.
+// Engine is a model engine with the address of its statistics.
 type Engine struct {
 	Target  berylspoke.TargetID `json:"target"`
 	Address string              `json:"address"`
@@ -34,14 +34,14 @@
 	Entries       []Entry              `json:"entries"`
 	OperatorToken string               `json:"operatorToken"`
 	Organisations []Organisation       `json:"organisations"`
-	Model         berylspoke.ServiceID `json:"model"`
-	Desk          berylspoke.ServiceID `json:"desk"`
+	ModelService  berylspoke.ServiceID `json:"model"`
+	PlainService  berylspoke.ServiceID `json:"desk"`
 	Engines       []Engine             `json:"engines"`
 }
 
-// FromPlan describes the fleet of a plan.
+// FromPlan returns the description of the fleet of a plan.
 func FromPlan(plan berylfleet.Plan) Fleet {
-	fleet := Fleet{OperatorToken: berylfleet.OperatorToken, Model: plan.Model, Desk: plan.Desk}
+	fleet := Fleet{OperatorToken: berylfleet.OperatorToken, ModelService: plan.Model, PlainService: plan.Desk}
 	for _, vm := range plan.VMs() {
 		fleet.Entries = append(fleet.Entries, Entry{vm.ID, vm.CallAddress, plan.Settings(vm).OperatorAddress})
 	}
--- a/io/berylload/run.go
+++ b/io/berylload/run.go
@@ -1,6 +1,6 @@
 package berylload
 
-// This file defines a run: who sends what, where and when.
+// This file defines a run: the callers of each organisation and their requests.
 
 import (
 	"context"
@@ -16,38 +16,38 @@
 	"berylspoke/io/berylcall"
 )
 
-// Scenario names what the organisations do.
+// Scenario names the load pattern of the organisations.
 type Scenario string
 
 // The scenarios.
 const (
 	// Backlog keeps every organisation backlogged.
 	Backlog Scenario = "backlog"
-	// Flood sends at a rate below capacity; in the second half one small
-	// organisation sends all it can.
+	// Flood sends at a rate below capacity; in the second half of the measurement one
+	// small organisation sends as many requests as it can.
 	Flood Scenario = "flood"
 	// Steady sends at a rate below capacity.
 	Steady Scenario = "steady"
 )
 
-// Options are the settings of a run.
+// Options are the options of a run.
 type Options struct {
 	Scenario Scenario
 	Warmup   time.Duration
 	Measure  time.Duration
 	Seed     uint64
-	// LeastTokens and MostTokens bound the length of a draft.
+	// LeastTokens and MostTokens bound the generated tokens of a request.
 	LeastTokens, MostTokens int
-	// Rate is the number of drafts a second of all organisations in an open loop.
+	// Rate is the number of requests a second of all organisations in an open loop.
 	Rate float64
 	// Outstanding is the number of requests that an organisation of weight 1
 	// keeps at each of its entries in a closed loop.
 	Outstanding int
-	// Progress is told what happens while the run goes on, or nil.
+	// Progress, if not nil, receives progress messages during the run.
 	Progress func(string)
 }
 
-// DefaultOptions returns a run of one minute.
+// DefaultOptions returns the options of a run of one minute.
 func DefaultOptions() Options {
 	return Options{
 		Scenario: Backlog, Warmup: 15 * time.Second, Measure: 45 * time.Second, Seed: 1,
@@ -55,59 +55,63 @@
 	}
 }
 
-// tenant is one organisation's callers.
-type tenant struct {
+// organisationCallers are the callers of an organisation with their results.
+type organisationCallers struct {
 	organisation Organisation
 	entries      []Entry
-	client       []*berylcall.Client
+	clients      []*berylcall.Client
 	mutex        sync.Mutex
 	tokens       int64
-	drafts       int
+	completed    int
 	failures     int
-	first        *hdrhistogram.Histogram
-	flooded      *hdrhistogram.Histogram
-	between      *hdrhistogram.Histogram
+	// firstToken is the time to the first token, firstTokenWhileFlooded the same during
+	// the flood, interToken the time between tokens, in microseconds.
+	firstToken             *hdrhistogram.Histogram
+	firstTokenWhileFlooded *hdrhistogram.Histogram
+	interToken             *hdrhistogram.Histogram
 }
 
 const (
-	// longest is the highest latency a histogram holds, in microseconds.
-	longest    = 600_000_000
-	precision  = 3
-	floodScale = 40
+	// maxLatencyMicros is the highest latency that a histogram holds.
+	maxLatencyMicros = 600_000_000
+	// significantDigits is the number of significant digits of a histogram.
+	significantDigits = 3
+	// floodFactor is the factor on the outstanding requests of an organisation that floods.
+	floodFactor = 40
 )
 
-// newTenant spreads an organisation unevenly: a large one calls every entry, a
-// small one the one, two or three that its place in the list gives.
-func newTenant(fleet Fleet, place int) *tenant {
-	organisation := fleet.Organisations[place]
-	tenant := &tenant{
-		organisation: organisation,
-		first:        hdrhistogram.New(1, longest, precision),
-		flooded:      hdrhistogram.New(1, longest, precision),
-		between:      hdrhistogram.New(1, longest, precision),
+// newOrganisationCallers spreads the callers of an organisation unevenly: a large
+// organisation calls every entry daemon, a small one 1 to 3 of them by its index.
+func newOrganisationCallers(fleet Fleet, index int) *organisationCallers {
+	organisation := fleet.Organisations[index]
+	callers := &organisationCallers{
+		organisation:           organisation,
+		firstToken:             hdrhistogram.New(1, maxLatencyMicros, significantDigits),
+		firstTokenWhileFlooded: hdrhistogram.New(1, maxLatencyMicros, significantDigits),
+		interToken:             hdrhistogram.New(1, maxLatencyMicros, significantDigits),
 	}
 	count := len(fleet.Entries)
-	spread := 1 + place%3
+	spread := 1 + index%3
 	if organisation.Weight > 1 {
 		spread = count
 	}
 	for i := range spread {
-		entry := fleet.Entries[(place*place+i)%count]
-		tenant.entries = append(tenant.entries, entry)
-		seeds := []string{entry.Calls}
+		entry := fleet.Entries[(index*index+i)%count]
+		callers.entries = append(callers.entries, entry)
+		seeds := []string{entry.CallAddress}
 		for next := 1; next < count; next++ {
-			seeds = append(seeds, fleet.Entries[(place*place+i+next)%count].Calls)
+			seeds = append(seeds, fleet.Entries[(index*index+i+next)%count].CallAddress)
 		}
-		tenant.client = append(tenant.client, berylcall.New(berylcall.Options{Seeds: seeds, Key: organisation.Key, Fixed: true}))
+		callers.clients = append(callers.clients, berylcall.New(berylcall.Options{Seeds: seeds, Key: organisation.Key, Fixed: true}))
 	}
-	return tenant
+	return callers
 }
 
-// Run drives the fleet and returns what it measured.
+// Run generates load on the fleet and returns the measurements.
 func Run(ctx context.Context, fleet Fleet, options Options) (*Report, error) {
 	run := &run{fleet: fleet, options: options, random: rand.New(rand.NewPCG(options.Seed, 99))}
-	for place := range fleet.Organisations {
-		run.tenants = append(run.tenants, newTenant(fleet, place))
+	for index := range fleet.Organisations {
+		run.organisations = append(run.organisations, newOrganisationCallers(fleet, index))
 	}
 	ctx, cancel := context.WithTimeout(ctx, options.Warmup+options.Measure)
 	defer cancel()
@@ -120,52 +124,56 @@
 }
 
 type run struct {
-	fleet   Fleet
-	options Options
-	mutex   sync.Mutex
-	random  *rand.Rand
-	tenants []*tenant
-	floods  time.Time
-	serial  int
+	fleet         Fleet
+	options       Options
+	mutex         sync.Mutex
+	random        *rand.Rand
+	organisations []*organisationCallers
+	// floodStart is the time at which the flood starts.
+	floodStart time.Time
+	// serial numbers the requests.
+	serial int
 }
 
 func (run *run) start(ctx context.Context, group *sync.WaitGroup) {
 	switch run.options.Scenario {
 	case Backlog:
-		for _, tenant := range run.tenants {
-			run.closedLoop(ctx, group, tenant, run.options.Outstanding)
+		for _, callers := range run.organisations {
+			run.closedLoop(ctx, group, callers, run.options.Outstanding)
 		}
 	default:
 		group.Add(1)
 		go run.openLoop(ctx, group)
 	}
 	if run.options.Scenario == Flood {
-		run.floods = time.Now().Add(run.options.Warmup + run.options.Measure/2)
+		run.floodStart = time.Now().Add(run.options.Warmup + run.options.Measure/2)
 		group.Add(1)
 		go run.flood(ctx, group)
 	}
 }
 
-func (run *run) closedLoop(ctx context.Context, group *sync.WaitGroup, tenant *tenant, outstanding int) {
-	for i := range tenant.client {
+// closedLoop keeps a number of requests outstanding at each entry of an organisation.
+func (run *run) closedLoop(ctx context.Context, group *sync.WaitGroup, callers *organisationCallers, outstanding int) {
+	for i := range callers.clients {
 		for range outstanding {
 			group.Add(1)
 			go func() {
 				defer group.Done()
 				for ctx.Err() == nil {
-					run.draft(ctx, tenant, tenant.client[i])
+					run.generate(ctx, callers, callers.clients[i])
 				}
 			}()
 		}
 	}
 }
 
-// openLoop sends drafts at random times; organisations get theirs by weight.
+// openLoop sends requests at exponentially distributed intervals, each for an
+// organisation drawn by weight.
 func (run *run) openLoop(ctx context.Context, group *sync.WaitGroup) {
 	defer group.Done()
 	var total berylspoke.Weight
-	for _, tenant := range run.tenants {
-		total += tenant.organisation.Weight
+	for _, callers := range run.organisations {
+		total += callers.organisation.Weight
 	}
 	for ctx.Err() == nil {
 		run.mutex.Lock()
@@ -177,12 +185,12 @@
 			return
 		case <-time.After(wait):
 		}
-		for _, tenant := range run.tenants {
-			if pick -= tenant.organisation.Weight; pick < 0 {
+		for _, callers := range run.organisations {
+			if pick -= callers.organisation.Weight; pick < 0 {
 				group.Add(1)
 				go func() {
 					defer group.Done()
-					run.draft(ctx, tenant, tenant.client[run.number()%len(tenant.client)])
+					run.generate(ctx, callers, callers.clients[run.nextSerial()%len(callers.clients)])
 				}()
 				break
 			}
@@ -190,66 +198,69 @@
 	}
 }
 
-// flood makes the last organisation send all it can from half time on.
+// flood makes the last organisation send as many requests as it can from the middle of
+// the measurement on.
 func (run *run) flood(ctx context.Context, group *sync.WaitGroup) {
 	defer group.Done()
 	select {
 	case <-ctx.Done():
-	case <-time.After(time.Until(run.floods)):
-		run.closedLoop(ctx, group, run.tenants[len(run.tenants)-1], run.options.Outstanding*floodScale)
+	case <-time.After(time.Until(run.floodStart)):
+		run.closedLoop(ctx, group, run.organisations[len(run.organisations)-1], run.options.Outstanding*floodFactor)
 	}
 }
 
-func (run *run) number() int {
+func (run *run) nextSerial() int {
 	run.mutex.Lock()
 	defer run.mutex.Unlock()
 	run.serial++
 	return run.serial
 }
 
-// draft streams one draft; its hint is rough, as callers' hints are.
-func (run *run) draft(ctx context.Context, tenant *tenant, client *berylcall.Client) {
+// generate sends a request of random length and reads the stream. The length hint is off
+// by up to half the length, as hints of callers are inaccurate.
+func (run *run) generate(ctx context.Context, callers *organisationCallers, client *berylcall.Client) {
 	run.mutex.Lock()
 	run.serial++
 	length := run.options.LeastTokens + run.random.IntN(run.options.MostTokens-run.options.LeastTokens+1)
 	hint := int(float64(length) * (0.5 + run.random.Float64()))
-	prompt := fmt.Sprintf("%s asks %d. %s[tokens=%d]", tenant.organisation.ID, run.serial, strings.Repeat("facts ", run.random.IntN(40)), length)
+	prompt := fmt.Sprintf("%s asks %d. %s[tokens=%d]", callers.organisation.ID, run.serial, strings.Repeat("facts ", run.random.IntN(40)), length)
 	run.mutex.Unlock()
-	began := time.Now()
-	last := time.Time{}
+	started := time.Now()
+	lastReceived := time.Time{}
 	_, err := client.Stream(ctx, berylcall.Draft{
-		Service: run.fleet.Model, Prompt: prompt, Hint: berylspoke.Tokens(hint), Attempts: 2,
+		Service: run.fleet.ModelService, Prompt: prompt, Hint: berylspoke.Tokens(hint), Attempts: 2,
 	}, func(_ string, tokens berylspoke.Tokens) {
 		now := time.Now()
-		tenant.receive(now, began, last, tokens, run.flooding(now))
-		last = now
+		callers.receive(now, started, lastReceived, tokens, run.flooding(now))
+		lastReceived = now
 	})
-	tenant.mutex.Lock()
-	defer tenant.mutex.Unlock()
+	callers.mutex.Lock()
+	defer callers.mutex.Unlock()
 	if err != nil && ctx.Err() == nil {
-		tenant.failures++
+		callers.failures++
 		time.Sleep(10 * time.Millisecond)
 	}
 	if err == nil {
-		tenant.drafts++
+		callers.completed++
 	}
 }
 
 func (run *run) flooding(now time.Time) bool {
-	return run.options.Scenario == Flood && now.After(run.floods)
+	return run.options.Scenario == Flood && now.After(run.floodStart)
 }
 
-func (tenant *tenant) receive(now, began, last time.Time, tokens berylspoke.Tokens, flooding bool) {
-	tenant.mutex.Lock()
-	defer tenant.mutex.Unlock()
-	tenant.tokens += int64(tokens)
-	if !last.IsZero() {
-		_ = tenant.between.RecordValue(now.Sub(last).Microseconds() / int64(max(tokens, 1)))
+// receive records the latency and the number of tokens of a chunk.
+func (callers *organisationCallers) receive(now, started, lastReceived time.Time, tokens berylspoke.Tokens, flooding bool) {
+	callers.mutex.Lock()
+	defer callers.mutex.Unlock()
+	callers.tokens += int64(tokens)
+	if !lastReceived.IsZero() {
+		_ = callers.interToken.RecordValue(now.Sub(lastReceived).Microseconds() / int64(max(tokens, 1)))
 		return
 	}
-	histogram := tenant.first
+	histogram := callers.firstToken
 	if flooding {
-		histogram = tenant.flooded
+		histogram = callers.firstTokenWhileFlooded
 	}
-	_ = histogram.RecordValue(now.Sub(began).Microseconds())
+	_ = histogram.RecordValue(now.Sub(started).Microseconds())
 }
