--- a/io/berylserve/actor.go
+++ b/io/berylserve/actor.go
@@ -16,33 +16,33 @@
 )
 
 const (
-	// tickEvery is the time between two ticks of the core.
-	tickEvery = 50 * time.Millisecond
-	// flushAfter is the time in which messages to peers gather.
-	flushAfter = 2 * time.Millisecond
+	// tickInterval is the time between two calls of Node.Tick.
+	tickInterval = 50 * time.Millisecond
+	// flushDelay is how long messages to peers are batched.
+	flushDelay = 2 * time.Millisecond
 )
 
-// The messages of the actor.
+// The messages that the actor handles.
 type (
 	tick  struct{}
 	flush struct{}
-	// fromPeer carries the messages of one packet.
+	// fromPeer carries the messages of one packet from a peer.
 	fromPeer struct {
 		from     berylspoke.VMID
 		messages []berylspoke.Message
 	}
-	published struct{ entries []berylspoke.Published }
-	listed    struct{ vms []berylspoke.VM }
-	// submit queues a request whose fate goes to the channel.
+	patchesPublished struct{ entries []berylspoke.Published }
+	vmsListed        struct{ vms []berylspoke.VM }
+	// submit queues a request; the decision on it is sent to the channel.
 	submit struct {
-		request berylnode.Request
-		fate    chan fate
+		request  berylnode.Request
+		decision chan decision
 	}
 	cancel   struct{ request berylspoke.RequestID }
 	progress struct {
-		request  berylspoke.RequestID
-		received berylspoke.Tokens
-		pace     time.Duration
+		request       berylspoke.RequestID
+		received      berylspoke.Tokens
+		tokenInterval time.Duration
 	}
 	finish struct {
 		request berylspoke.RequestID
@@ -51,200 +51,203 @@
 	retry     struct{ allowed chan bool }
 	beginCall struct {
 		id    berylticket.CallID
-		begun chan begun
+		reply chan beginReply
 	}
 	settle struct {
-		id       berylticket.CallID
-		standing chan berylticket.Standing
+		id    berylticket.CallID
+		reply chan berylticket.Standing
 	}
 	resolve struct {
 		organisation berylspoke.OrganisationID
-		resolved     chan resolved
+		reply        chan resolveReply
 	}
-	reported struct {
+	loadReported struct {
 		target berylspoke.TargetID
 		report berylspoke.LoadReport
-		held   berylspoke.Order
+		actual berylspoke.Order
 	}
-	// inspect runs a function on the node, for the dump and for loops that need
-	// a look at its state.
+	// inspect runs a function on the node, for the dump and for goroutines that need
+	// the state of the node.
 	inspect struct {
-		look func(now time.Time, node *berylnode.Node)
-		done chan struct{}
+		visit func(now time.Time, node *berylnode.Node)
+		done  chan struct{}
 	}
 )
 
-// fate is what becomes of a waiting request: a target or a refusal.
-type fate struct {
+// decision ends the wait of a queued request: a target or a refusal.
+type decision struct {
 	target  berylspoke.TargetID
 	refusal *berylspoke.Refusal
 }
 
-// begun is what the owner knows of an id; a nil record means forgotten.
-type begun struct {
-	record *berylticket.Record
-	fresh  bool
+// beginReply is the owner's record of an id and whether it was created now. The record
+// is nil if the id was forgotten.
+type beginReply struct {
+	record  *berylticket.Record
+	created bool
 }
 
-type resolved struct {
+type resolveReply struct {
 	addresses []string
 	ticket    berylticket.Ticket
 }
 
-// core is the actor.
-type core struct {
-	daemon   *Daemon
-	node     *berylnode.Node
-	fates    map[berylspoke.RequestID]chan fate
-	settles  map[uint64]chan berylticket.Standing
-	vms      []berylspoke.VM
-	tokens   uint64
-	flushing bool
+// nodeActor is the actor that owns the node.
+type nodeActor struct {
+	daemon         *Daemon
+	node           *berylnode.Node
+	decisions      map[berylspoke.RequestID]chan decision
+	pendingSettles map[uint64]chan berylticket.Standing
+	vms            []berylspoke.VM
+	lastToken      uint64
+	flushScheduled bool
 }
 
-var _ actor.Actor = (*core)(nil)
+var _ actor.Actor = (*nodeActor)(nil)
 
 // Receive implements actor.Actor.
-func (core *core) Receive(context actor.Context) {
+func (runner *nodeActor) Receive(context actor.Context) {
 	now := time.Now()
 	switch message := context.Message().(type) {
 	case tick:
-		core.node.Tick(now)
+		runner.node.Tick(now)
 	case flush:
-		core.flushing = false
-		core.node.Flush(now)
+		runner.flushScheduled = false
+		runner.node.Flush(now)
 	case fromPeer:
 		for _, item := range message.messages {
-			core.node.Deliver(now, message.from, item)
+			runner.node.Deliver(now, message.from, item)
 		}
-	case published:
-		core.node.AddPatches(now, message.entries)
-	case listed:
-		core.vms = message.vms
-		core.relocate()
-		core.node.SetVMs(now, message.vms)
+	case patchesPublished:
+		runner.node.AddPatches(now, message.entries)
+	case vmsListed:
+		runner.vms = message.vms
+		runner.refreshMembers()
+		runner.node.SetVMs(now, message.vms)
 	case submit:
-		core.fates[message.request.Request] = message.fate
-		core.node.Submit(now, message.request)
+		runner.decisions[message.request.Request] = message.decision
+		runner.node.Submit(now, message.request)
 	case cancel:
-		core.node.Cancel(now, message.request)
+		runner.node.Cancel(now, message.request)
 	case progress:
-		core.node.Progress(message.request, message.received, message.pace)
+		runner.node.Progress(message.request, message.received, message.tokenInterval)
 	case finish:
-		core.node.Finish(now, message.request, message.outcome)
+		runner.node.Finish(now, message.request, message.outcome)
 	case retry:
-		message.allowed <- core.node.Retry(now)
+		message.allowed <- runner.node.Retry(now)
 	case beginCall:
-		record, fresh := core.node.BeginCall(now, message.id)
+		record, created := runner.node.BeginCall(now, message.id)
 		if record != nil {
 			copied := *record
 			record = &copied
 		}
-		message.begun <- begun{record, fresh}
+		message.reply <- beginReply{record, created}
 	case settle:
-		core.tokens++
-		core.settles[core.tokens] = message.standing
-		core.node.Settle(now, core.tokens, message.id)
+		runner.lastToken++
+		runner.pendingSettles[runner.lastToken] = message.reply
+		runner.node.Settle(now, runner.lastToken, message.id)
 	case resolve:
-		addresses, ticket := core.node.Resolve(message.organisation)
-		message.resolved <- resolved{addresses, ticket}
-	case reported:
-		core.node.Load(now, message.target, message.report)
-		core.node.Compare(now, message.target, message.held)
+		addresses, ticket := runner.node.Resolve(message.organisation)
+		message.reply <- resolveReply{addresses, ticket}
+	case loadReported:
+		runner.node.Load(now, message.target, message.report)
+		runner.node.Compare(now, message.target, message.actual)
 	case inspect:
-		message.look(now, core.node)
+		message.visit(now, runner.node)
 		close(message.done)
 	default:
 		return
 	}
-	core.carryOut()
-	core.scheduleFlush(context)
+	runner.applyEffects()
+	runner.scheduleFlush(context)
 }
 
-func (core *core) scheduleFlush(context actor.Context) {
-	if _, flushed := context.Message().(flush); flushed || core.flushing {
+func (runner *nodeActor) scheduleFlush(context actor.Context) {
+	if _, flushed := context.Message().(flush); flushed || runner.flushScheduled {
 		return
 	}
-	core.flushing = true
+	runner.flushScheduled = true
 	self := context.Self()
-	time.AfterFunc(flushAfter, func() { core.daemon.system.Root.Send(self, flush{}) })
+	time.AfterFunc(flushDelay, func() { runner.daemon.system.Root.Send(self, flush{}) })
 }
 
-// carryOut hands the effects to those who act on them.
-func (core *core) carryOut() {
-	effects := core.node.Take()
-	if self := core.node.Self(); self != core.daemon.process() {
-		core.daemon.log.Warn("earlier run is newer by its clock", zap.Stringer("takes", self.Incarnation))
-		core.daemon.incarnation.Store(uint64(self.Incarnation))
+// applyEffects executes the effects that the node returned.
+func (runner *nodeActor) applyEffects() {
+	effects := runner.node.Take()
+	if self := runner.node.Self(); self != runner.daemon.process() {
+		runner.daemon.log.Warn("an earlier run on this VM has a higher incarnation; taking one above it", zap.Stringer("takes", self.Incarnation))
+		runner.daemon.incarnation.Store(uint64(self.Incarnation))
 	}
 	for _, start := range effects.Starts {
-		core.tell(start.Request, fate{target: start.Target})
+		runner.decide(start.Request, decision{target: start.Target})
 	}
 	for _, refuse := range effects.Refusals {
-		core.tell(refuse.Request, fate{refusal: refuse.Refusal})
+		runner.decide(refuse.Request, decision{refusal: refuse.Refusal})
 	}
 	for _, settled := range effects.Settled {
-		if waiter := core.settles[settled.Token]; waiter != nil {
+		if waiter := runner.pendingSettles[settled.Token]; waiter != nil {
 			waiter <- settled.Standing
-			delete(core.settles, settled.Token)
+			delete(runner.pendingSettles, settled.Token)
 		}
 	}
-	core.sendAll(effects.Sends)
+	runner.sendAll(effects.Sends)
 	for _, order := range effects.Orders {
-		go core.daemon.order(order)
+		go runner.daemon.sendOrder(order)
 	}
 	if effects.Reconfigured {
-		core.reconfigured()
+		runner.configurationChanged()
 	}
 }
 
-// tell hands a request its fate; the channel has room for the one there is.
-func (core *core) tell(id berylspoke.RequestID, verdict fate) {
-	if waiter := core.fates[id]; waiter != nil {
-		waiter <- verdict
-		delete(core.fates, id)
+// decide sends a request its decision. It never blocks: there is one decision a request
+// and the channel has room for it.
+func (runner *nodeActor) decide(id berylspoke.RequestID, result decision) {
+	if waiter := runner.decisions[id]; waiter != nil {
+		waiter <- result
+		delete(runner.decisions, id)
 	}
 }
 
-func (core *core) sendAll(sends []berylnode.Send) {
+func (runner *nodeActor) sendAll(sends []berylnode.Send) {
 	byPeer := make(map[berylspoke.VMID][]berylspoke.Message)
 	for _, send := range sends {
 		byPeer[send.To] = append(byPeer[send.To], send.Message)
 	}
 	for to, messages := range byPeer {
-		core.daemon.transport.SendAll(to, messages)
+		runner.daemon.transport.SendAll(to, messages)
 	}
 }
 
-func (core *core) reconfigured() {
-	state := core.node.Config()
-	core.daemon.keys.Store(newKeyIndex(state.Declarations))
-	core.daemon.declarations.Store(state.Declarations)
-	core.relocate()
-	core.daemon.log.Info("configuration in force", zap.Uint64("version", uint64(state.Version)),
+func (runner *nodeActor) configurationChanged() {
+	state := runner.node.Config()
+	runner.daemon.keys.Store(newKeyIndex(state.Declarations))
+	runner.daemon.declarations.Store(state.Declarations)
+	runner.refreshMembers()
+	runner.daemon.log.Info("configuration in force", zap.Uint64("version", uint64(state.Version)),
 		zap.Uint64("number", uint64(state.Number)), zap.String("hash", state.Hash.Short()))
-	for _, outcome := range core.node.Outcomes() {
+	for _, outcome := range runner.node.Outcomes() {
 		if outcome.Number == state.Number && !outcome.Accepted {
-			core.daemon.log.Warn("patch rejected", zap.Any("outcome", outcome))
+			runner.daemon.log.Warn("patch rejected", zap.Any("outcome", outcome))
 		}
 	}
 }
 
-// relocate recomputes where VMs stand, which depends on the list of VMs and on
-// the declared regions.
-func (core *core) relocate() {
-	daemon := core.daemon
-	daemon.members.Store(newMemberIndex(daemon.settings, core.vms, daemon.Declarations()))
+// refreshMembers rebuilds the addresses and links of VMs, which depend on the list of
+// VMs and on the declared regions.
+func (runner *nodeActor) refreshMembers() {
+	daemon := runner.daemon
+	daemon.members.Store(newMemberIndex(daemon.settings, runner.vms, daemon.Declarations()))
 	daemon.transport.Relink()
 }
 
-// send hands the actor a message.
-func (daemon *Daemon) send(message any) { daemon.system.Root.Send(daemon.core, message) }
+// send puts a message into the mailbox of the actor.
+func (daemon *Daemon) send(message any) { daemon.system.Root.Send(daemon.actorPID, message) }
 
-// look runs a function on the node and waits for it, or for the context.
-func (daemon *Daemon) look(ctx context.Context, look func(now time.Time, node *berylnode.Node)) error {
+// inspect runs a function on the node in the actor and returns when it is done or the
+// context has ended.
+func (daemon *Daemon) inspect(ctx context.Context, visit func(now time.Time, node *berylnode.Node)) error {
 	done := make(chan struct{})
-	daemon.send(inspect{look, done})
+	daemon.send(inspect{visit, done})
 	select {
 	case <-done:
 		return nil
--- a/io/berylserve/attempt.go
+++ b/io/berylserve/attempt.go
@@ -1,6 +1,6 @@
 package berylserve
 
-// This file defines one attempt of a request: queue, slot, target.
+// This file defines one attempt of a request, from the queue to the target.
 
 import (
 	"context"
@@ -15,21 +15,21 @@
 	"berylspoke/io/berylsettings"
 )
 
-// attempt is one try of a request at a target.
+// attempt is one run of a request through the queue to a target.
 type attempt struct {
-	daemon  *Daemon
-	request berylnode.Request
-	fates   chan fate
+	daemon    *Daemon
+	request   berylnode.Request
+	decisions chan decision
 }
 
-// newAttempt makes an attempt with an id of its own: targets echo it, so that a
-// late answer of an earlier attempt is never taken for this one's.
+// newAttempt returns an attempt with an id of its own. Targets echo the id, so that a
+// late answer to an earlier attempt is not mistaken for an answer to this one.
 func (daemon *Daemon) newAttempt(from caller, service berylspoke.ServiceID, hint berylspoke.Tokens, prompt string, call *berylticket.CallID) *attempt {
 	now := time.Now()
-	id := berylspoke.RequestID(fmt.Sprintf("%s/%s/%d", from.organisation, daemon.process().Incarnation, daemon.sequence.Add(1)))
+	id := berylspoke.RequestID(fmt.Sprintf("%s/%s/%d", from.organisation, daemon.process().Incarnation, daemon.requestSequence.Add(1)))
 	return &attempt{
-		daemon: daemon,
-		fates:  make(chan fate, 1),
+		daemon:    daemon,
+		decisions: make(chan decision, 1),
 		request: berylnode.Request{
 			Service: service, Call: call,
 			Waiting: berylshare.Waiting{
@@ -41,45 +41,45 @@
 	}
 }
 
-// wait queues the attempt and returns its target. It calls beat while it waits,
-// so that the caller sees a live connection. If the context ends first, the
-// request is taken out of the queue.
-func (attempt *attempt) wait(ctx context.Context, beat func() error) (berylspoke.TargetID, *berylspoke.Refusal) {
-	attempt.daemon.send(submit{attempt.request, attempt.fates})
+// awaitTarget queues the attempt and returns its target. It calls heartbeat at intervals
+// while it waits, so that the caller sees that the connection is alive. The request is
+// removed from the queue if the context ends or heartbeat fails.
+func (attempt *attempt) awaitTarget(ctx context.Context, heartbeat func() error) (berylspoke.TargetID, *berylspoke.Refusal) {
+	attempt.daemon.send(submit{attempt.request, attempt.decisions})
 	ticker := time.NewTicker(berylsettings.Millis(attempt.daemon.settings.Callers.HeartbeatMillis))
 	defer ticker.Stop()
 	for {
 		select {
-		case fate := <-attempt.fates:
-			return fate.target, fate.refusal
+		case decision := <-attempt.decisions:
+			return decision.target, decision.refusal
 		case <-ctx.Done():
 			return attempt.abandon()
 		case <-ticker.C:
-			if beat != nil && beat() != nil {
+			if heartbeat != nil && heartbeat() != nil {
 				return attempt.abandon()
 			}
 		}
 	}
 }
 
-// abandon cancels a waiting request. It may have started at the same moment;
-// the slot is then freed.
+// abandon cancels a queued request. If the request was started concurrently, its slot
+// is released.
 func (attempt *attempt) abandon() (berylspoke.TargetID, *berylspoke.Refusal) {
-	gone := &berylspoke.Refusal{Verdict: berylspoke.NotRun, Reason: berylspoke.ReasonClosed, Cause: context.Canceled}
+	canceled := &berylspoke.Refusal{Verdict: berylspoke.NotRun, Reason: berylspoke.ReasonClosed, Cause: context.Canceled}
 	attempt.daemon.send(cancel{attempt.request.Request})
 	go func() {
-		if fate := <-attempt.fates; fate.refusal == nil {
+		if decision := <-attempt.decisions; decision.refusal == nil {
 			attempt.finish(berylnode.Outcome{Verdict: berylspoke.NotRun})
 		}
 	}()
-	return "", gone
+	return "", canceled
 }
 
 func (attempt *attempt) finish(outcome berylnode.Outcome) {
 	attempt.daemon.send(finish{attempt.request.Request, outcome})
 }
 
-// mayRetry says whether the fleet's budget allows another attempt.
+// mayRetry charges the retry budget and reports whether it allows another attempt.
 func (daemon *Daemon) mayRetry() bool {
 	allowed := make(chan bool, 1)
 	daemon.send(retry{allowed})
--- a/io/berylserve/callers.go
+++ b/io/berylserve/callers.go
@@ -1,6 +1,6 @@
 package berylserve
 
-// This file defines the callers' server, its limits and the proof of who calls.
+// This file defines the HTTP server for callers, its limits and their authentication.
 
 import (
 	"encoding/json"
@@ -21,7 +21,7 @@
 const (
 	verdictHeader = "Berylspoke-Verdict"
 	idHeader      = "Berylspoke-Id"
-	// idleTimeout closes callers' connections that carry nothing.
+	// idleTimeout closes idle keep-alive connections.
 	idleTimeout = 60 * time.Second
 )
 
@@ -45,7 +45,7 @@
 	Calls     int      `json:"calls"`
 }
 
-// caller is the proven identity of a request's sender.
+// caller is the authenticated sender of a request.
 type caller struct {
 	organisation berylspoke.OrganisationID
 }
@@ -53,7 +53,7 @@
 func (daemon *Daemon) serveCallers() (*http.Server, error) {
 	listener, err := net.Listen("tcp", daemon.settings.CallAddress)
 	if err != nil {
-		return nil, errors.Wrap(err, "callers' address cannot be opened")
+		return nil, errors.Wrap(err, "cannot listen on the callers' address")
 	}
 	listener = netutil.LimitListener(listener, daemon.settings.Callers.MaxConnections)
 	server := &http.Server{
@@ -74,10 +74,10 @@
 
 func (daemon *Daemon) callerRoutes() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /v1/resolve", daemon.known(daemon.serveResolve))
-	mux.HandleFunc("POST /v1/services/{service}/drafts", daemon.known(daemon.serveDraft))
-	mux.HandleFunc("GET /v1/calls/{id}", daemon.known(daemon.serveOutcome))
-	mux.HandleFunc("/v1/services/{service}/calls/{path...}", daemon.known(daemon.serveCall))
+	mux.HandleFunc("GET /v1/resolve", daemon.authenticated(daemon.serveResolve))
+	mux.HandleFunc("POST /v1/services/{service}/drafts", daemon.authenticated(daemon.serveGeneration))
+	mux.HandleFunc("GET /v1/calls/{id}", daemon.authenticated(daemon.serveOutcome))
+	mux.HandleFunc("/v1/services/{service}/calls/{path...}", daemon.authenticated(daemon.serveCall))
 	mux.HandleFunc("/", func(writer http.ResponseWriter, _ *http.Request) {
 		daemon.refuse(writer, http.StatusNotFound, &berylspoke.Refusal{
 			Verdict: berylspoke.NotRun, Reason: berylspoke.ReasonMalformed, Cause: errors.New("no such path"),
@@ -86,19 +86,20 @@
 	return mux
 }
 
-// known serves a request whose key belongs to an organisation, within the
-// bounds of time and size.
-func (daemon *Daemon) known(serve func(http.ResponseWriter, *http.Request, caller)) http.HandlerFunc {
+// authenticated serves requests whose key belongs to an organisation and limits the
+// size of their bodies and the time to read them.
+func (daemon *Daemon) authenticated(serve func(http.ResponseWriter, *http.Request, caller)) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
-		daemon.active.Add(1)
-		defer daemon.active.Add(-1)
+		daemon.activeCallers.Add(1)
+		defer daemon.activeCallers.Add(-1)
 		key, _ := strings.CutPrefix(request.Header.Get("Authorization"), "Bearer ")
-		organisation, known := daemon.keys.Load().organisation(key)
-		if !known {
-			daemon.refuseUnknown(writer)
+		organisation, found := daemon.keys.Load().organisation(key)
+		if !found {
+			daemon.refuseUnknownKey(writer)
 			return
 		}
-		// A sender that trickles its body would hold a connection for good.
+		// Without a deadline, a caller that sends its body slowly holds a connection
+		// without end.
 		deadline := time.Now().Add(berylsettings.Millis(daemon.settings.Callers.ReadMillis))
 		_ = http.NewResponseController(writer).SetReadDeadline(deadline)
 		request.Body = http.MaxBytesReader(writer, request.Body, daemon.settings.Callers.MaxBodyBytes)
@@ -106,9 +107,9 @@
 	}
 }
 
-// refuseUnknown refuses a key that no organisation has; a daemon that has no
-// configuration yet cannot tell and says so.
-func (daemon *Daemon) refuseUnknown(writer http.ResponseWriter) {
+// refuseUnknownKey refuses a key that belongs to no organisation. A daemon without a
+// configuration cannot tell, so it answers that it is starting.
+func (daemon *Daemon) refuseUnknownKey(writer http.ResponseWriter) {
 	if len(daemon.Declarations().Organisations) == 0 {
 		daemon.refuse(writer, 0, &berylspoke.Refusal{
 			Verdict: berylspoke.NotRun, Reason: berylspoke.ReasonStarting, RetryAfter: time.Second,
@@ -121,8 +122,8 @@
 	})
 }
 
-// statuses maps reasons to HTTP statuses.
-var statuses = map[berylspoke.Reason]int{
+// reasonStatus maps the reasons of refusals to HTTP status codes.
+var reasonStatus = map[berylspoke.Reason]int{
 	berylspoke.ReasonUnauthorised:  http.StatusUnauthorized,
 	berylspoke.ReasonMalformed:     http.StatusBadRequest,
 	berylspoke.ReasonTicket:        http.StatusPreconditionRequired,
@@ -140,17 +141,18 @@
 	berylspoke.ReasonTarget:        http.StatusBadGateway,
 }
 
-func failureOf(refusal *berylspoke.Refusal) wireFailure {
+func failureBody(refusal *berylspoke.Refusal) wireFailure {
 	return wireFailure{Error: wireError{
 		Reason: string(refusal.Reason), Verdict: refusal.Verdict.String(),
 		RetryAfter: refusal.RetryAfter.Milliseconds(), Message: refusal.Error(),
 	}}
 }
 
-// refuse writes a refusal; a zero status means the one of the reason.
+// refuse writes a refusal and counts it. A zero status selects the status code of the
+// reason.
 func (daemon *Daemon) refuse(writer http.ResponseWriter, status int, refusal *berylspoke.Refusal) {
 	if status == 0 {
-		status = statuses[refusal.Reason]
+		status = reasonStatus[refusal.Reason]
 	}
 	if status == 0 {
 		status = http.StatusInternalServerError
@@ -161,7 +163,7 @@
 	writer.Header().Set(verdictHeader, refusal.Verdict.String())
 	writer.Header().Set("Content-Type", "application/json")
 	writer.WriteHeader(status)
-	_ = json.NewEncoder(writer).Encode(failureOf(refusal))
+	_ = json.NewEncoder(writer).Encode(failureBody(refusal))
 	daemon.countRefusal(refusal)
 }
 
@@ -171,7 +173,8 @@
 	}
 }
 
-// asRefusal makes any error a refusal; one of unknown origin may have run.
+// asRefusal returns the refusal that err carries. For any other error it returns one with
+// the verdict MayHaveRun, since the error does not show whether the request ran.
 func asRefusal(err error) *berylspoke.Refusal {
 	var refusal *berylspoke.Refusal
 	if errors.As(err, &refusal) {
@@ -181,7 +184,7 @@
 }
 
 func (daemon *Daemon) serveResolve(writer http.ResponseWriter, request *http.Request, from caller) {
-	reply := make(chan resolved, 1)
+	reply := make(chan resolveReply, 1)
 	daemon.send(resolve{from.organisation, reply})
 	select {
 	case <-request.Context().Done():
--- a/io/berylserve/calls.go
+++ b/io/berylserve/calls.go
@@ -1,7 +1,6 @@
 package berylserve
 
-// This file defines calls of plain services and the outcome of non-idempotent
-// ones.
+// This file defines calls to plain services and the outcomes of non-idempotent calls.
 
 import (
 	"context"
@@ -21,13 +20,13 @@
 
 const (
 	maxCallsPerTicket = berylticket.MaxCalls
-	// maxReads bounds the attempts of an idempotent call.
-	maxReads = 3
-	// outcomeLook is the time between two looks at an id that is in progress.
-	outcomeLook = 20 * time.Millisecond
+	// maxIdempotentAttempts bounds the attempts of an idempotent call.
+	maxIdempotentAttempts = 3
+	// outcomePollInterval is the time between two checks of an unfinished id.
+	outcomePollInterval = 20 * time.Millisecond
 )
 
-// idempotent says whether a method may be repeated.
+// idempotent reports whether calls with this method may be repeated.
 func idempotent(method string) bool {
 	return method == http.MethodGet || method == http.MethodHead
 }
@@ -50,45 +49,45 @@
 	}
 	call := berylspoke.Call{Method: request.Method, Path: path, Type: request.Header.Get("Content-Type"), Body: body}
 	if idempotent(request.Method) {
-		daemon.read(request.Context(), writer, from, service, call)
+		daemon.runIdempotent(request.Context(), writer, from, service, call)
 		return
 	}
-	daemon.file(request.Context(), writer, request.Header.Get(idHeader), from, service, call)
+	daemon.runAtMostOnce(request.Context(), writer, request.Header.Get(idHeader), from, service, call)
 }
 
-// read runs an idempotent call, again if a target fails.
-func (daemon *Daemon) read(ctx context.Context, writer http.ResponseWriter, from caller, service berylspoke.ServiceID, call berylspoke.Call) {
-	for count := 1; ; count++ {
-		answer, refusal := daemon.readOnce(ctx, from, service, call)
+// runIdempotent runs an idempotent call and retries it if a target fails.
+func (daemon *Daemon) runIdempotent(ctx context.Context, writer http.ResponseWriter, from caller, service berylspoke.ServiceID, call berylspoke.Call) {
+	for try := 1; ; try++ {
+		answer, refusal := daemon.attemptIdempotent(ctx, from, service, call)
 		if refusal == nil {
-			daemon.answer(writer, answer)
+			daemon.writeAnswer(writer, answer)
 			return
 		}
-		if refusal.Reason != berylspoke.ReasonTarget || count == maxReads || ctx.Err() != nil || !daemon.mayRetry() {
+		if refusal.Reason != berylspoke.ReasonTarget || try == maxIdempotentAttempts || ctx.Err() != nil || !daemon.mayRetry() {
 			daemon.refuse(writer, 0, refusal)
 			return
 		}
 	}
 }
 
-func (daemon *Daemon) readOnce(ctx context.Context, from caller, service berylspoke.ServiceID, call berylspoke.Call) (berylspoke.Answer, *berylspoke.Refusal) {
+func (daemon *Daemon) attemptIdempotent(ctx context.Context, from caller, service berylspoke.ServiceID, call berylspoke.Call) (berylspoke.Answer, *berylspoke.Refusal) {
 	attempt := daemon.newAttempt(from, service, 1, "", nil)
-	target, refusal := attempt.wait(ctx, nil)
+	target, refusal := attempt.awaitTarget(ctx, nil)
 	if refusal != nil {
 		return berylspoke.Answer{}, refusal
 	}
 	call.Request = attempt.request.Request
 	answer, err := daemon.targets.Call(ctx, target, call)
-	moved := len(call.Body) + len(answer.Body)
-	daemon.data.add(daemon.targetLink(target), uint64(moved))
-	attempt.finish(berylnode.Outcome{Received: 1, Bytes: moved, Failed: err != nil && ctx.Err() == nil})
+	transferred := len(call.Body) + len(answer.Body)
+	daemon.dataTraffic.add(daemon.targetLink(target), uint64(transferred))
+	attempt.finish(berylnode.Outcome{Received: 1, Bytes: transferred, Failed: err != nil && ctx.Err() == nil})
 	if err != nil {
 		return berylspoke.Answer{}, asRefusal(err)
 	}
 	return answer, nil
 }
 
-func (daemon *Daemon) answer(writer http.ResponseWriter, answer berylspoke.Answer) {
+func (daemon *Daemon) writeAnswer(writer http.ResponseWriter, answer berylspoke.Answer) {
 	if answer.Type != "" {
 		writer.Header().Set("Content-Type", answer.Type)
 	}
@@ -97,57 +96,58 @@
 	_, _ = writer.Write(answer.Body)
 }
 
-// file runs a non-idempotent call at most once under its id.
-func (daemon *Daemon) file(ctx context.Context, writer http.ResponseWriter, text string, from caller, service berylspoke.ServiceID, call berylspoke.Call) {
-	if text == "" {
+// runAtMostOnce runs a non-idempotent call at most once under its id.
+func (daemon *Daemon) runAtMostOnce(ctx context.Context, writer http.ResponseWriter, idText string, from caller, service berylspoke.ServiceID, call berylspoke.Call) {
+	if idText == "" {
 		daemon.refuse(writer, 0, &berylspoke.Refusal{
 			Verdict: berylspoke.NotRun, Reason: berylspoke.ReasonTicket,
 			Cause: errors.New("a call that may not be repeated needs an id: GET /v1/resolve returns a ticket, and TICKET~0 to TICKET~1023 in " + idHeader + " are ids"),
 		})
 		return
 	}
-	id, err := daemon.sealer.ParseCall(from.organisation, text)
+	id, err := daemon.sealer.ParseCall(from.organisation, idText)
 	if err != nil {
 		daemon.refuse(writer, 0, malformed("%v", err))
 		return
 	}
 	if id.Ticket.Owner != daemon.process() {
-		// Only the owner may run the id. Finding out what became of it there
-		// is all that may be done here.
-		daemon.outcome(ctx, writer, id)
+		// Only the owner process may run the id; any other daemon can only report
+		// the outcome.
+		daemon.writeOutcome(ctx, writer, id)
 		return
 	}
-	reply := make(chan begun, 1)
+	reply := make(chan beginReply, 1)
 	daemon.send(beginCall{id, reply})
 	found := <-reply
-	if found.fresh {
-		// The caller may leave; the call goes on, and its outcome is kept.
+	if found.created {
+		// The call continues if the caller disconnects, and its outcome is kept.
 		go daemon.runCall(id, from, service, call)
 	}
-	daemon.outcome(ctx, writer, id)
+	daemon.writeOutcome(ctx, writer, id)
 }
 
-// runCall takes a call through the queue to one target.
+// runCall queues a non-idempotent call and sends it to one target.
 func (daemon *Daemon) runCall(id berylticket.CallID, from caller, service berylspoke.ServiceID, call berylspoke.Call) {
-	daemon.active.Add(1)
-	defer daemon.active.Add(-1)
+	daemon.activeCallers.Add(1)
+	defer daemon.activeCallers.Add(-1)
 	attempt := daemon.newAttempt(from, service, 1, "", &id)
-	target, refusal := attempt.wait(daemon.ctx, nil)
+	target, refusal := attempt.awaitTarget(daemon.ctx, nil)
 	if refusal != nil {
 		daemon.log.Info("call refused", zap.Stringer("id", id), zap.String("organisation", string(from.organisation)),
 			zap.String("reason", string(refusal.Reason)), zap.Stringer("verdict", refusal.Verdict))
 		return
 	}
-	// Targets know the call by its id, not by the attempt: there is only one.
+	// The target gets the id of the call, not that of the attempt: a call has only one
+	// attempt.
 	call.Request = berylspoke.RequestID(id.String())
 	answer, err := daemon.targets.Call(daemon.ctx, target, call)
 	verdict := berylspoke.Ran
 	if err != nil {
 		verdict = berylspoke.VerdictOf(err)
 	}
-	moved := len(call.Body) + len(answer.Body)
-	daemon.data.add(daemon.targetLink(target), uint64(moved))
-	attempt.finish(berylnode.Outcome{Received: 1, Bytes: moved, Failed: err != nil, Verdict: verdict, Answer: answer})
+	transferred := len(call.Body) + len(answer.Body)
+	daemon.dataTraffic.add(daemon.targetLink(target), uint64(transferred))
+	attempt.finish(berylnode.Outcome{Received: 1, Bytes: transferred, Failed: err != nil, Verdict: verdict, Answer: answer})
 	daemon.log.Info("call ended", zap.Stringer("id", id), zap.String("organisation", string(from.organisation)),
 		zap.String("target", string(target)), zap.Stringer("verdict", verdict), zap.Error(err))
 }
@@ -158,37 +158,37 @@
 	Owner   string `json:"owner,omitempty"`
 }
 
-// serveOutcome tells what became of an id, at any daemon.
+// serveOutcome answers with the outcome of an id. Any daemon serves it.
 func (daemon *Daemon) serveOutcome(writer http.ResponseWriter, request *http.Request, from caller) {
 	id, err := daemon.sealer.ParseCall(from.organisation, request.PathValue("id"))
 	if err != nil {
 		daemon.refuse(writer, 0, malformed("%v", err))
 		return
 	}
-	daemon.outcome(request.Context(), writer, id)
+	daemon.writeOutcome(request.Context(), writer, id)
 }
 
-// outcome waits for the end of an id that this daemon owns, or asks its owner
-// and its witness.
-func (daemon *Daemon) outcome(ctx context.Context, writer http.ResponseWriter, id berylticket.CallID) {
+// writeOutcome writes the outcome of an id. It waits for the end of an id that this
+// process owns, and asks the owner and the witness about any other.
+func (daemon *Daemon) writeOutcome(ctx context.Context, writer http.ResponseWriter, id berylticket.CallID) {
 	if id.Ticket.Owner.Incarnation == daemon.process().Incarnation {
-		daemon.ownOutcome(ctx, writer, id)
+		daemon.writeOwnOutcome(ctx, writer, id)
 		return
 	}
 	reply := make(chan berylticket.Standing, 1)
 	daemon.send(settle{id, reply})
 	select {
 	case <-ctx.Done():
-	case standing := <-reply:
-		daemon.writeStanding(writer, id, standing)
+	case callStatus := <-reply:
+		daemon.writeStatus(writer, id, callStatus)
 	}
 }
 
-// writeStanding tells another daemon's word on an id.
-func (daemon *Daemon) writeStanding(writer http.ResponseWriter, id berylticket.CallID, standing berylticket.Standing) {
-	owner := daemon.members.Load().callers[id.Ticket.Owner.VM]
-	writer.Header().Set(verdictHeader, standing.Verdict().String())
-	switch standing {
+// writeStatus writes the status of an id that the owner or the witness reported.
+func (daemon *Daemon) writeStatus(writer http.ResponseWriter, id berylticket.CallID, callStatus berylticket.Standing) {
+	owner := daemon.members.Load().callAddresses[id.Ticket.Owner.VM]
+	writer.Header().Set(verdictHeader, callStatus.Verdict().String())
+	switch callStatus {
 	case berylticket.StandsNotRun:
 		daemon.refuse(writer, 0, &berylspoke.Refusal{
 			Verdict: berylspoke.NotRun, Reason: berylspoke.ReasonClosed,
@@ -197,13 +197,13 @@
 	case berylticket.StandsRan, berylticket.Pending:
 		writer.Header().Set("Content-Type", "application/json")
 		status := http.StatusOK
-		if standing == berylticket.Pending {
+		if callStatus == berylticket.Pending {
 			status = http.StatusAccepted
 			writer.Header().Set("Retry-After", "1")
 		}
 		writer.WriteHeader(status)
 		_ = json.NewEncoder(writer).Encode(wireOutcome{
-			Verdict: standing.Verdict().String(), Pending: standing == berylticket.Pending, Owner: owner,
+			Verdict: callStatus.Verdict().String(), Pending: callStatus == berylticket.Pending, Owner: owner,
 		})
 	default:
 		daemon.refuse(writer, 0, &berylspoke.Refusal{
@@ -213,11 +213,11 @@
 	}
 }
 
-// ownOutcome waits until an id of this daemon is finished.
-func (daemon *Daemon) ownOutcome(ctx context.Context, writer http.ResponseWriter, id berylticket.CallID) {
+// writeOwnOutcome waits until an id of this process is finished and writes its outcome.
+func (daemon *Daemon) writeOwnOutcome(ctx context.Context, writer http.ResponseWriter, id berylticket.CallID) {
 	for {
 		var record *berylticket.Record
-		err := daemon.look(ctx, func(now time.Time, node *berylnode.Node) {
+		err := daemon.inspect(ctx, func(now time.Time, node *berylnode.Node) {
 			node.Owner().Settle(now, id)
 			if found := node.Owner().Record(id); found != nil {
 				copied := *found
@@ -235,7 +235,7 @@
 			daemon.writeRecord(writer, record)
 			return
 		}
-		if !pause(ctx, outcomeLook) {
+		if !sleep(ctx, outcomePollInterval) {
 			return
 		}
 	}
@@ -244,7 +244,7 @@
 func (daemon *Daemon) writeRecord(writer http.ResponseWriter, record *berylticket.Record) {
 	switch record.Verdict {
 	case berylspoke.Ran:
-		daemon.answer(writer, record.Answer)
+		daemon.writeAnswer(writer, record.Answer)
 	case berylspoke.NotRun:
 		daemon.refuse(writer, 0, &berylspoke.Refusal{
 			Verdict: berylspoke.NotRun, Reason: berylspoke.ReasonClosed, RetryAfter: time.Second,
--- a/io/berylserve/daemon.go
+++ b/io/berylserve/daemon.go
@@ -1,6 +1,6 @@
 package berylserve
 
-// This file defines the assembly, the start and the stop of a daemon.
+// This file defines the start, the drain and the stop of a daemon.
 
 import (
 	"context"
@@ -26,48 +26,49 @@
 	"berylspoke/io/beryltarget"
 )
 
-// Daemon is one running router.
+// Daemon is a running router process.
 type Daemon struct {
 	settings  *berylsettings.Settings
 	log       *zap.Logger
 	system    *actor.ActorSystem
-	core      *actor.PID
+	actorPID  *actor.PID
 	transport *berylpeer.Transport
 	targets   *beryltarget.Client
 	platform  berylspoke.Platform
 	sealer    *berylticket.Sealer
-	// incarnation changes at most before the daemon is ready.
-	incarnation  atomic.Uint64
-	declarations atomic.Pointer[berylconfig.Declarations]
-	keys         atomic.Pointer[keyIndex]
-	members      atomic.Pointer[memberIndex]
-	meters       *metrics.Set
-	data         dataTraffic
-	sequence     atomic.Uint64
-	callers      *http.Server
-	operators    *http.Server
-	active       atomic.Int64
-	ctx          context.Context
-	stop         context.CancelFunc
-	drained      chan struct{}
+	// incarnation changes if an earlier run on this VM had a higher one, but only until
+	// the daemon is ready.
+	incarnation     atomic.Uint64
+	declarations    atomic.Pointer[berylconfig.Declarations]
+	keys            atomic.Pointer[keyIndex]
+	members         atomic.Pointer[memberIndex]
+	metrics         *metrics.Set
+	dataTraffic     dataTraffic
+	requestSequence atomic.Uint64
+	callers         *http.Server
+	operators       *http.Server
+	activeCallers   atomic.Int64
+	ctx             context.Context
+	cancel          context.CancelFunc
+	drained         chan struct{}
 }
 
-// newIncarnation returns a number that is unique and grows with each start of a
-// VM's daemon, as membership needs to tell old rumours from new ones.
+// newIncarnation returns a number that is unique and grows with each start of the
+// daemon of a VM, so that membership can order the rumours of successive runs.
 func newIncarnation(now time.Time) (berylspoke.Incarnation, error) {
 	var random [8]byte
 	if _, err := rand.Read(random[:]); err != nil {
-		return 0, errors.Wrap(err, "incarnation cannot be drawn")
+		return 0, errors.Wrap(err, "cannot read random bytes for the incarnation")
 	}
 	return berylspoke.NewIncarnation(now.UnixMilli(), binary.LittleEndian.Uint64(random[:])), nil
 }
 
-// process returns this run of the daemon.
+// process returns the VM and the incarnation of this daemon.
 func (daemon *Daemon) process() berylspoke.Process {
 	return berylspoke.Process{VM: daemon.settings.VM, Incarnation: berylspoke.Incarnation(daemon.incarnation.Load())}
 }
 
-// Start runs a daemon until Stop.
+// Start starts a daemon, which runs until Kill is called.
 func Start(settings *berylsettings.Settings, log *zap.Logger) (*Daemon, error) {
 	now := time.Now()
 	incarnation, err := newIncarnation(now)
@@ -79,25 +80,25 @@
 		log:      log.With(zap.String("vm", string(settings.VM)), zap.Stringer("incarnation", incarnation)),
 		platform: berylplatform.NewClient(settings.Platform),
 		sealer:   berylticket.NewSealer(settings.Keys()[0]),
-		meters:   metrics.NewSet(),
+		metrics:  metrics.NewSet(),
 		drained:  make(chan struct{}),
 	}
 	daemon.declarations.Store(new(berylconfig.Declarations))
 	daemon.keys.Store(newKeyIndex(daemon.Declarations()))
 	daemon.members.Store(newMemberIndex(settings, nil, daemon.Declarations()))
-	daemon.ctx, daemon.stop = context.WithCancel(context.Background())
+	daemon.ctx, daemon.cancel = context.WithCancel(context.Background())
 	daemon.targets = beryltarget.NewClient(beryltarget.Options{
 		FirstToken: berylsettings.Millis(settings.Targets.FirstTokenMillis),
 		Progress:   berylsettings.Millis(settings.Targets.ProgressMillis),
 		Call:       berylsettings.Millis(settings.Targets.CallMillis),
 	}, daemon)
-	daemon.startCore(now, incarnation)
-	if err := daemon.open(); err != nil {
+	daemon.startActor(now, incarnation)
+	if err := daemon.listen(); err != nil {
 		daemon.Kill()
 		return nil, err
 	}
-	daemon.registerMeters()
-	go daemon.keepTime()
+	daemon.registerMetrics()
+	go daemon.runTicker()
 	go daemon.watchVMs()
 	go daemon.watchPatches()
 	go daemon.pollLoads()
@@ -105,24 +106,24 @@
 	return daemon, nil
 }
 
-func (daemon *Daemon) startCore(now time.Time, incarnation berylspoke.Incarnation) {
+func (daemon *Daemon) startActor(now time.Time, incarnation berylspoke.Incarnation) {
 	daemon.incarnation.Store(uint64(incarnation))
 	daemon.system = actor.NewActorSystem(actor.WithLoggerFactory(func(*actor.ActorSystem) *slog.Logger {
 		return slog.New(slog.DiscardHandler)
 	}))
 	node := berylnode.New(now, daemon.settings.Node(incarnation), uint64(incarnation))
-	daemon.core = daemon.system.Root.Spawn(actor.PropsFromProducer(func() actor.Actor {
-		return &core{
+	daemon.actorPID = daemon.system.Root.Spawn(actor.PropsFromProducer(func() actor.Actor {
+		return &nodeActor{
 			daemon: daemon, node: node,
-			fates:   make(map[berylspoke.RequestID]chan fate),
-			settles: make(map[uint64]chan berylticket.Standing),
+			decisions:      make(map[berylspoke.RequestID]chan decision),
+			pendingSettles: make(map[uint64]chan berylticket.Standing),
 		}
 	}))
 }
 
-// open opens the sockets, the peers' first: what arrives early waits in the
-// actor's mailbox.
-func (daemon *Daemon) open() error {
+// listen opens the sockets, that of peers first: messages that arrive early wait in
+// the mailbox of the actor.
+func (daemon *Daemon) listen() error {
 	transport, err := berylpeer.Listen(berylpeer.Options{
 		VM: daemon.settings.VM, Address: daemon.settings.PeerAddress, Keys: daemon.settings.Keys(),
 		Locator: daemon, Log: daemon.log,
@@ -139,8 +140,8 @@
 	return err
 }
 
-func (daemon *Daemon) keepTime() {
-	ticker := time.NewTicker(tickEvery)
+func (daemon *Daemon) runTicker() {
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -153,44 +154,44 @@
 }
 
 const (
-	// drainNotice is the time after the announcement in which callers that
-	// still hold this daemon's address are served.
-	drainNotice = 2 * time.Second
-	// drainLook is the time between two looks at what is left.
-	drainLook = 100 * time.Millisecond
+	// drainNoticePeriod is how long new requests are still served after the drain was
+	// announced, for callers that have cached the address of this daemon.
+	drainNoticePeriod = 2 * time.Second
+	// drainPollInterval is the time between two counts of the remaining requests.
+	drainPollInterval = 100 * time.Millisecond
 )
 
-// Drain leaves the fleet without cutting a request: the daemon is announced as
-// leaving, refuses new requests after a notice, and is drained once the last
-// one has ended.
+// Drain takes the daemon out of service without interrupting a request. It announces
+// to peers that the daemon is leaving, rejects new requests after drainNoticePeriod,
+// and returns when the last request has ended.
 func (daemon *Daemon) Drain(ctx context.Context) error {
 	daemon.log.Info("draining")
-	if err := daemon.look(ctx, func(now time.Time, node *berylnode.Node) { node.Drain(now) }); err != nil {
+	if err := daemon.inspect(ctx, func(now time.Time, node *berylnode.Node) { node.Drain(now) }); err != nil {
 		return err
 	}
-	if !pause(ctx, drainNotice) {
+	if !sleep(ctx, drainNoticePeriod) {
 		return ctx.Err()
 	}
-	if err := daemon.look(ctx, func(_ time.Time, node *berylnode.Node) { node.Close() }); err != nil {
+	if err := daemon.inspect(ctx, func(_ time.Time, node *berylnode.Node) { node.Close() }); err != nil {
 		return err
 	}
 	for {
-		busy := 0
-		if err := daemon.look(ctx, func(_ time.Time, node *berylnode.Node) { busy = node.Busy() }); err != nil {
+		activeRequests := 0
+		if err := daemon.inspect(ctx, func(_ time.Time, node *berylnode.Node) { activeRequests = node.Busy() }); err != nil {
 			return err
 		}
-		if busy == 0 && daemon.active.Load() == 0 {
+		if activeRequests == 0 && daemon.activeCallers.Load() == 0 {
 			daemon.log.Info("drained")
 			return nil
 		}
-		if !pause(ctx, drainLook) {
+		if !sleep(ctx, drainPollInterval) {
 			return ctx.Err()
 		}
 	}
 }
 
-// pause waits and returns false if the context ended first.
-func pause(ctx context.Context, duration time.Duration) bool {
+// sleep waits for the duration and returns false if the context ended first.
+func sleep(ctx context.Context, duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
@@ -201,9 +202,9 @@
 	}
 }
 
-// Kill ends the daemon at once, as a crash would.
+// Kill stops the daemon at once and interrupts its requests, as a crash would.
 func (daemon *Daemon) Kill() {
-	daemon.stop()
+	daemon.cancel()
 	if daemon.callers != nil {
 		_ = daemon.callers.Close()
 	}
@@ -213,8 +214,8 @@
 	if daemon.transport != nil {
 		daemon.transport.Close()
 	}
-	daemon.system.Root.Stop(daemon.core)
+	daemon.system.Root.Stop(daemon.actorPID)
 }
 
-// VM returns the daemon's VM.
+// VM returns the VM that the daemon runs on.
 func (daemon *Daemon) VM() berylspoke.VMID { return daemon.settings.VM }
--- a/io/berylserve/index.go
+++ b/io/berylserve/index.go
@@ -1,6 +1,6 @@
 package berylserve
 
-// This file defines the indexes that handlers read without the actor.
+// This file defines the indexes that HTTP handlers read without asking the actor.
 
 import (
 	"crypto/sha256"
@@ -14,7 +14,7 @@
 	"berylspoke/io/beryltarget"
 )
 
-// keyIndex finds the organisation of a key by the key's digest.
+// keyIndex maps digests of keys to organisations.
 type keyIndex struct {
 	organisations map[[sha256.Size]byte]berylspoke.OrganisationID
 }
@@ -31,8 +31,8 @@
 	return index
 }
 
-// organisation returns the owner of a key. Only digests are compared, so the
-// time taken tells nothing of a key that its digest would not.
+// organisation returns the organisation of a key. The lookup compares only digests, so
+// its timing reveals no more about a key than its digest does.
 func (index *keyIndex) organisation(key string) (berylspoke.OrganisationID, bool) {
 	if key == "" {
 		return "", false
@@ -41,28 +41,28 @@
 	return id, known
 }
 
-// sameToken compares secrets in constant time.
-func sameToken(left, right string) bool {
+// equalTokens reports whether two secrets are equal, in constant time.
+func equalTokens(left, right string) bool {
 	a, b := sha256.Sum256([]byte(left)), sha256.Sum256([]byte(right))
 	return subtle.ConstantTimeCompare(a[:], b[:]) == 1
 }
 
-// memberIndex tells where VMs stand.
+// memberIndex holds the addresses of VMs and the kinds of link to them.
 type memberIndex struct {
-	addresses map[berylspoke.VMID]string
-	callers   map[berylspoke.VMID]string
-	links     map[berylspoke.VMID]berylpeer.Link
+	peerAddresses map[berylspoke.VMID]string
+	callAddresses map[berylspoke.VMID]string
+	links         map[berylspoke.VMID]berylpeer.Link
 }
 
 func newMemberIndex(settings *berylsettings.Settings, vms []berylspoke.VM, declarations *berylconfig.Declarations) *memberIndex {
 	index := &memberIndex{
-		addresses: make(map[berylspoke.VMID]string),
-		callers:   make(map[berylspoke.VMID]string),
-		links:     make(map[berylspoke.VMID]berylpeer.Link),
+		peerAddresses: make(map[berylspoke.VMID]string),
+		callAddresses: make(map[berylspoke.VMID]string),
+		links:         make(map[berylspoke.VMID]berylpeer.Link),
 	}
 	for _, vm := range vms {
-		index.addresses[vm.ID] = vm.PeerAddress
-		index.callers[vm.ID] = vm.CallAddress
+		index.peerAddresses[vm.ID] = vm.PeerAddress
+		index.callAddresses[vm.ID] = vm.CallAddress
 		index.links[vm.ID] = linkBetween(settings.FailureDomain, vm.FailureDomain, declarations)
 	}
 	return index
@@ -86,7 +86,7 @@
 
 // PeerAddress implements berylpeer.Locator.
 func (daemon *Daemon) PeerAddress(vm berylspoke.VMID) string {
-	return daemon.members.Load().addresses[vm]
+	return daemon.members.Load().peerAddresses[vm]
 }
 
 // Link implements berylpeer.Locator.
--- a/io/berylserve/operators.go
+++ b/io/berylserve/operators.go
@@ -1,6 +1,6 @@
 package berylserve
 
-// This file defines the operators' server: dump, metrics, drain.
+// This file defines the HTTP server for operators: dump, metrics, readiness and drain.
 
 import (
 	"context"
@@ -19,22 +19,22 @@
 func (daemon *Daemon) serveOperators() (*http.Server, error) {
 	listener, err := net.Listen("tcp", daemon.settings.OperatorAddress)
 	if err != nil {
-		return nil, errors.Wrap(err, "operators' address cannot be opened")
+		return nil, errors.Wrap(err, "cannot listen on the operators' address")
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /state", daemon.serveState)
-	mux.HandleFunc("GET /metrics", func(writer http.ResponseWriter, _ *http.Request) { daemon.meters.WritePrometheus(writer) })
+	mux.HandleFunc("GET /metrics", func(writer http.ResponseWriter, _ *http.Request) { daemon.metrics.WritePrometheus(writer) })
 	mux.HandleFunc("GET /ready", daemon.serveReady)
 	mux.HandleFunc("POST /drain", daemon.serveDrain)
-	server := &http.Server{Handler: daemon.operatorsOnly(mux), ReadHeaderTimeout: 5 * time.Second, IdleTimeout: idleTimeout}
+	server := &http.Server{Handler: daemon.requireOperatorToken(mux), ReadHeaderTimeout: 5 * time.Second, IdleTimeout: idleTimeout}
 	go func() { _ = server.Serve(listener) }()
 	return server, nil
 }
 
-func (daemon *Daemon) operatorsOnly(next http.Handler) http.Handler {
+func (daemon *Daemon) requireOperatorToken(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		token, _ := strings.CutPrefix(request.Header.Get("Authorization"), "Bearer ")
-		if !sameToken(token, daemon.settings.OperatorToken) {
+		if !equalTokens(token, daemon.settings.OperatorToken) {
 			http.Error(writer, "operator token is wrong", http.StatusUnauthorized)
 			return
 		}
@@ -42,7 +42,7 @@
 	})
 }
 
-// Dump is the state of a daemon's process.
+// Dump is the state of a daemon with its traffic counters, as operators read it.
 type Dump struct {
 	berylnode.State
 	Connections int                           `json:"peerConnections"`
@@ -53,13 +53,14 @@
 	Active      int64                         `json:"activeCallers"`
 }
 
-// State returns the dump.
+// State returns the dump of the daemon. If the context ends first, the state of the node
+// is missing and the error is that of the context.
 func (daemon *Daemon) State(ctx context.Context) (Dump, error) {
 	var dump Dump
-	err := daemon.look(ctx, func(now time.Time, node *berylnode.Node) { dump.State = node.State(now) })
+	err := daemon.inspect(ctx, func(now time.Time, node *berylnode.Node) { dump.State = node.State(now) })
 	dump.Connections = daemon.transport.Connections()
-	dump.Control, dump.Data = daemon.controlBytes(), daemon.data.totals()
-	dump.Active = daemon.active.Load()
+	dump.Control, dump.Data = daemon.controlBytes(), daemon.dataTraffic.totals()
+	dump.Active = daemon.activeCallers.Load()
 	dump.Messages = daemon.transport.Traffic().Kinds()
 	for _, link := range allLinks {
 		dump.Packets += daemon.transport.Traffic().Packets[link].Load()
@@ -81,7 +82,7 @@
 
 func (daemon *Daemon) serveReady(writer http.ResponseWriter, request *http.Request) {
 	ready := false
-	_ = daemon.look(request.Context(), func(_ time.Time, node *berylnode.Node) { ready = node.Ready() })
+	_ = daemon.inspect(request.Context(), func(_ time.Time, node *berylnode.Node) { ready = node.Ready() })
 	if !ready {
 		http.Error(writer, "not ready", http.StatusServiceUnavailable)
 		return
@@ -89,7 +90,7 @@
 	_, _ = writer.Write([]byte("ready\n"))
 }
 
-// serveDrain starts a planned stop and answers once no request is left.
+// serveDrain drains the daemon and answers when no request is left.
 func (daemon *Daemon) serveDrain(writer http.ResponseWriter, request *http.Request) {
 	if err := daemon.Drain(request.Context()); err != nil {
 		http.Error(writer, "drain was interrupted", http.StatusServiceUnavailable)
--- a/io/berylserve/watch.go
+++ b/io/berylserve/watch.go
@@ -1,6 +1,6 @@
 package berylserve
 
-// This file defines the loops that read the platform and the targets' load.
+// This file defines the goroutines that watch the platform and poll the load of targets.
 
 import (
 	"math/rand/v2"
@@ -16,15 +16,16 @@
 )
 
 const (
-	// watchLook is the time between two looks whether to watch the platform.
-	watchLook = 2 * time.Second
-	// anyoneAfter is the time after which a daemon that is no watcher asks the
-	// platform once, in case the watchers of its failure domain hear nothing.
-	anyoneAfter = 60 * time.Second
+	// watchCheckInterval is the mean time after which a daemon that is no watcher of the
+	// platform checks again whether it should be one.
+	watchCheckInterval = 2 * time.Second
+	// nonWatcherInterval is the time after which a daemon that is no watcher asks the
+	// platform once, in case the watchers of its failure domain receive nothing.
+	nonWatcherInterval = 60 * time.Second
 )
 
-// platformBackoff spreads the calls of a fleet that lost the platform at one
-// moment, so that its return is no thundering herd.
+// platformBackoff returns randomised delays. All daemons may lose the platform at
+// the same moment; the delays prevent a thundering herd when it returns.
 func platformBackoff() *backoff.ExponentialBackOff {
 	delays := backoff.NewExponentialBackOff()
 	delays.InitialInterval = 200 * time.Millisecond
@@ -38,13 +39,13 @@
 	for daemon.ctx.Err() == nil {
 		vms, next, err := daemon.platform.VMs(daemon.ctx, revision)
 		if err != nil {
-			daemon.log.Debug("list of VMs not read", zap.Error(err))
-			pause(daemon.ctx, delays.NextBackOff())
+			daemon.log.Debug("cannot read the list of VMs from the platform; retrying after a delay", zap.Error(err))
+			sleep(daemon.ctx, delays.NextBackOff())
 			continue
 		}
 		delays.Reset()
 		if next != revision {
-			daemon.send(listed{vms})
+			daemon.send(vmsListed{vms})
 		}
 		revision = next
 	}
@@ -56,40 +57,40 @@
 	for daemon.ctx.Err() == nil {
 		var number berylspoke.EntryNumber
 		watches := false
-		err := daemon.look(daemon.ctx, func(now time.Time, node *berylnode.Node) {
+		err := daemon.inspect(daemon.ctx, func(now time.Time, node *berylnode.Node) {
 			number, watches = node.Config().Number, node.Watches(now)
 		})
 		if err != nil {
 			return
 		}
-		if !watches && time.Since(lastRead) < anyoneAfter {
-			pause(daemon.ctx, watchLook/2+rand.N(watchLook))
+		if !watches && time.Since(lastRead) < nonWatcherInterval {
+			sleep(daemon.ctx, watchCheckInterval/2+rand.N(watchCheckInterval))
 			continue
 		}
 		lastRead = time.Now()
 		entries, err := daemon.platform.Patches(daemon.ctx, number)
 		if err != nil {
-			daemon.log.Debug("patches not read", zap.Error(err))
-			pause(daemon.ctx, delays.NextBackOff())
+			daemon.log.Debug("cannot read patches from the platform; retrying after a delay", zap.Error(err))
+			sleep(daemon.ctx, delays.NextBackOff())
 			continue
 		}
 		delays.Reset()
 		if len(entries) > 0 {
-			daemon.send(published{entries})
+			daemon.send(patchesPublished{entries})
 		}
 	}
 }
 
-// pollLoads reads the load of the targets kept here.
+// pollLoads polls the load of the targets whose lessor is this daemon.
 func (daemon *Daemon) pollLoads() {
-	every := berylsettings.Millis(daemon.settings.Targets.LoadMillis)
-	for pause(daemon.ctx, every) {
-		var kept []berylspoke.TargetID
-		if daemon.look(daemon.ctx, func(_ time.Time, node *berylnode.Node) { kept = node.Kept() }) != nil {
+	interval := berylsettings.Millis(daemon.settings.Targets.LoadMillis)
+	for sleep(daemon.ctx, interval) {
+		var leased []berylspoke.TargetID
+		if daemon.inspect(daemon.ctx, func(_ time.Time, node *berylnode.Node) { leased = node.Kept() }) != nil {
 			return
 		}
 		var group sync.WaitGroup
-		for _, target := range kept {
+		for _, target := range leased {
 			group.Add(1)
 			go func() {
 				defer group.Done()
@@ -101,16 +102,16 @@
 }
 
 func (daemon *Daemon) readLoad(target berylspoke.TargetID) {
-	report, held, err := daemon.targets.Report(daemon.ctx, target)
+	report, actual, err := daemon.targets.Report(daemon.ctx, target)
 	if err != nil {
-		daemon.log.Debug("load not read", zap.String("target", string(target)), zap.Error(err))
+		daemon.log.Debug("cannot read the load of a target", zap.String("target", string(target)), zap.Error(err))
 		return
 	}
-	daemon.send(reported{target, report, held})
+	daemon.send(loadReported{target, report, actual})
 }
 
-func (daemon *Daemon) order(order berylnode.Order) {
+func (daemon *Daemon) sendOrder(order berylnode.Order) {
 	err := daemon.targets.Order(daemon.ctx, order.Target, order.Order)
-	daemon.log.Info("order given", zap.String("target", string(order.Target)),
+	daemon.log.Info("engine order request finished", zap.String("target", string(order.Target)),
 		zap.Uint64("fence", order.Order.Fence), zap.String("model", order.Order.Model), zap.Error(err))
 }
