--- a/io/berylserve/daemon.go
+++ b/io/berylserve/daemon.go
@@ -88,9 +88,9 @@
 	daemon.members.Store(newMemberIndex(settings, nil, daemon.Declarations()))
 	daemon.ctx, daemon.cancel = context.WithCancel(context.Background())
 	daemon.targets = beryltarget.NewClient(beryltarget.Options{
-		FirstToken: berylsettings.Millis(settings.Targets.FirstTokenMillis),
-		Progress:   berylsettings.Millis(settings.Targets.ProgressMillis),
-		Call:       berylsettings.Millis(settings.Targets.CallMillis),
+		FirstTokenTimeout: berylsettings.Millis(settings.Targets.FirstTokenMillis),
+		ProgressTimeout:   berylsettings.Millis(settings.Targets.ProgressMillis),
+		CallTimeout:       berylsettings.Millis(settings.Targets.CallMillis),
 	}, daemon)
 	daemon.startActor(now, incarnation)
 	if err := daemon.listen(); err != nil {
--- a/io/berylserve/index.go
+++ b/io/berylserve/index.go
@@ -80,8 +80,8 @@
 }
 
 var (
-	_ berylpeer.Locator     = (*Daemon)(nil)
-	_ beryltarget.Addresses = (*Daemon)(nil)
+	_ berylpeer.Locator   = (*Daemon)(nil)
+	_ beryltarget.Locator = (*Daemon)(nil)
 )
 
 // PeerAddress implements berylpeer.Locator.
@@ -94,7 +94,7 @@
 	return daemon.members.Load().links[vm]
 }
 
-// Address implements beryltarget.Addresses.
+// Address implements beryltarget.Locator.
 func (daemon *Daemon) Address(target berylspoke.TargetID) string {
 	return daemon.Declarations().Targets[target].Address
 }
--- a/io/beryltarget/client.go
+++ b/io/beryltarget/client.go
@@ -1,6 +1,6 @@
 package beryltarget
 
-// This file defines the client of targets and how its errors become verdicts.
+// This file defines the client of targets and the verdicts of its errors.
 
 import (
 	"bytes"
@@ -17,78 +17,78 @@
 	"berylspoke"
 )
 
-// RequestHeader carries the request id to targets. It is not one of the header
-// names that make net/http repeat a request by itself.
+// RequestHeader carries the request id to targets. It is none of the header names that
+// make net/http retry a request by itself.
 const RequestHeader = "Berylspoke-Request"
 
 const (
-	dialTimeout  = 2 * time.Second
-	loadTimeout  = 2 * time.Second
-	orderTimeout = 5 * time.Second
-	maxAnswer    = 8 << 20
-	maxReport    = 64 << 10
+	dialTimeout    = 2 * time.Second
+	controlTimeout = 2 * time.Second
+	orderTimeout   = 5 * time.Second
+	maxAnswerBytes = 8 << 20
+	maxReportBytes = 64 << 10
 )
 
-// Addresses tells where targets listen.
-type Addresses interface {
-	// Address returns the address of a target, or "".
+// Locator returns the addresses of targets.
+type Locator interface {
+	// Address returns the address of a target, or "" if it is not known.
 	Address(target berylspoke.TargetID) string
 }
 
-// Options are the times within which a target must show progress.
+// Options are the timeouts of requests to targets.
 type Options struct {
-	// FirstToken is the wait for the first token before the target is probed.
-	FirstToken time.Duration
-	// Progress is the silence between tokens before the target is probed.
-	Progress time.Duration
-	// Call is the longest time of a call of a plain service.
-	Call time.Duration
+	// FirstTokenTimeout is the wait for the first token after which the engine is probed.
+	FirstTokenTimeout time.Duration
+	// ProgressTimeout is the wait for the next chunk after which the engine is probed.
+	ProgressTimeout time.Duration
+	// CallTimeout bounds a call to a plain service.
+	CallTimeout time.Duration
 }
 
-// DefaultOptions returns the product's times.
+// DefaultOptions returns the default timeouts.
 func DefaultOptions() Options {
-	return Options{FirstToken: 2 * time.Second, Progress: time.Second, Call: 20 * time.Second}
+	return Options{FirstTokenTimeout: 2 * time.Second, ProgressTimeout: time.Second, CallTimeout: 20 * time.Second}
 }
 
 // Client implements berylspoke.Targets.
 type Client struct {
-	options   Options
-	addresses Addresses
-	streams   *http.Client
-	calls     *http.Client
-	control   *http.Client
-	// ControlBytes counts the bytes of load reports, probes and orders.
+	options Options
+	locator Locator
+	streams *http.Client
+	calls   *http.Client
+	control *http.Client
+	// ControlBytes counts the bytes of load reports and orders in both directions.
 	ControlBytes atomic.Uint64
 }
 
 var _ berylspoke.Targets = (*Client)(nil)
 
-// NewClient returns a client of the targets at the given addresses.
-func NewClient(options Options, addresses Addresses) *Client {
-	client := &Client{options: options, addresses: addresses}
+// NewClient returns a client of the targets that locator finds.
+func NewClient(options Options, locator Locator) *Client {
+	client := &Client{options: options, locator: locator}
 	dialer := &net.Dialer{Timeout: dialTimeout}
-	// Streams and calls use a connection of their own. A kept one may have been
-	// forgotten by something on the way; net/http would then either hang or
-	// repeat the request unasked, and nobody could say whether it ran.
-	single := func() *http.Transport {
+	// Each stream and call uses a connection of its own. A middlebox may have dropped
+	// the state of a reused one; net/http would then hang or retry the request by
+	// itself, and whether it ran could not be determined.
+	newTransport := func() *http.Transport {
 		return &http.Transport{DialContext: dialer.DialContext, DisableKeepAlives: true, DisableCompression: true}
 	}
-	client.streams = &http.Client{Transport: single()}
-	client.calls = &http.Client{Transport: single(), CheckRedirect: stayHere}
-	kept := &http.Transport{
+	client.streams = &http.Client{Transport: newTransport()}
+	client.calls = &http.Client{Transport: newTransport(), CheckRedirect: useLastResponse}
+	keepAlive := &http.Transport{
 		DialContext:     (&countingDialer{dialer, &client.ControlBytes}).dial,
 		IdleConnTimeout: 30 * time.Second, DisableCompression: true,
 	}
-	client.control = &http.Client{Transport: kept}
+	client.control = &http.Client{Transport: keepAlive}
 	return client
 }
 
-// stayHere hands a redirect to the caller; following it would send the request
+// useLastResponse returns a redirect to the caller; following it would send the request
 // a second time.
-func stayHere(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
+func useLastResponse(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
 func (client *Client) url(target berylspoke.TargetID, path string) (string, error) {
-	address := client.addresses.Address(target)
+	address := client.locator.Address(target)
 	if address == "" {
 		return "", &berylspoke.Refusal{
 			Verdict: berylspoke.NotRun, Reason: berylspoke.ReasonNoTarget,
@@ -98,12 +98,12 @@
 	return "http://" + address + path, nil
 }
 
-// failure turns an error of net/http into a refusal.
-func failure(err error) *berylspoke.Refusal {
+// targetRefusal returns the refusal for an error of a request to a target.
+func targetRefusal(err error) *berylspoke.Refusal {
 	verdict := berylspoke.MayHaveRun
 	var operation *net.OpError
 	if errors.As(err, &operation) && operation.Op == "dial" {
-		// No connection was made, so no byte can have reached the target.
+		// No connection was opened, so no byte can have reached the target.
 		verdict = berylspoke.NotRun
 	}
 	return &berylspoke.Refusal{Verdict: verdict, Reason: berylspoke.ReasonTarget, Cause: err}
@@ -115,19 +115,19 @@
 	if err != nil {
 		return berylspoke.Answer{}, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, client.options.Call)
+	ctx, cancel := context.WithTimeout(ctx, client.options.CallTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, call.Method, url, bytes.NewReader(call.Body))
 	if err != nil {
 		return berylspoke.Answer{}, &berylspoke.Refusal{Verdict: berylspoke.NotRun, Reason: berylspoke.ReasonMalformed, Cause: err}
 	}
-	// Without GetBody net/http has nothing to repeat the request with.
+	// Without GetBody, net/http cannot retry the request.
 	request.GetBody = nil
 	request.Header.Set(RequestHeader, string(call.Request))
 	request.Header.Set("Content-Type", call.Type)
 	response, err := client.calls.Do(request)
 	if err != nil {
-		return berylspoke.Answer{}, failure(err)
+		return berylspoke.Answer{}, targetRefusal(err)
 	}
 	defer func() { _ = response.Body.Close() }()
 	if echoed := response.Header.Get(RequestHeader); echoed != string(call.Request) {
@@ -136,9 +136,9 @@
 			Cause: errors.Errorf("answer names request %.80q", echoed),
 		}
 	}
-	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswer))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
 	if err != nil {
-		return berylspoke.Answer{}, failure(err)
+		return berylspoke.Answer{}, targetRefusal(err)
 	}
 	return berylspoke.Answer{Status: response.StatusCode, Type: response.Header.Get("Content-Type"), Body: body}, nil
 }
@@ -155,7 +155,7 @@
 	return report, err
 }
 
-// Report returns a target's load and what the engine holds.
+// Report returns the load of a target and the order that its engine reports as current.
 func (client *Client) Report(ctx context.Context, target berylspoke.TargetID) (berylspoke.LoadReport, berylspoke.Order, error) {
 	var load wireLoad
 	if err := client.exchange(ctx, target, http.MethodGet, "/v1/load", nil, &load); err != nil {
@@ -168,7 +168,7 @@
 func (client *Client) Order(ctx context.Context, target berylspoke.TargetID, order berylspoke.Order) error {
 	body, err := json.Marshal(order)
 	if err != nil {
-		return errors.Wrap(err, "order cannot be encoded")
+		return errors.Wrap(err, "cannot encode the order")
 	}
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
@@ -181,30 +181,30 @@
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
+	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
-		return errors.Wrap(err, "control request cannot be made")
+		return errors.Wrap(err, "cannot create the control request")
 	}
 	request.Header.Set("User-Agent", "")
 	response, err := client.control.Do(request)
 	if err != nil {
-		return failure(err)
+		return targetRefusal(err)
 	}
 	defer func() { _ = response.Body.Close() }()
-	content, err := io.ReadAll(io.LimitReader(response.Body, maxReport))
+	content, err := io.ReadAll(io.LimitReader(response.Body, maxReportBytes))
 	if err != nil {
-		return failure(err)
+		return targetRefusal(err)
 	}
 	if response.StatusCode != http.StatusOK {
 		return &berylspoke.Refusal{
 			Verdict: berylspoke.MayHaveRun, Reason: berylspoke.ReasonTarget,
-			Cause: errors.Errorf("target %s answers %s", target, response.Status),
+			Cause: errors.Errorf("target %s answered a control request with %s", target, response.Status),
 		}
 	}
 	if answer == nil {
 		return nil
 	}
-	return errors.Wrapf(json.Unmarshal(content, answer), "report of target %s is garbled", target)
+	return errors.Wrapf(json.Unmarshal(content, answer), "malformed answer of target %s to a control request", target)
 }
--- a/io/beryltarget/count.go
+++ b/io/beryltarget/count.go
@@ -1,6 +1,6 @@
 package beryltarget
 
-// This file defines the connections that count control bytes.
+// This file defines connections that count control bytes.
 
 import (
 	"context"
@@ -8,11 +8,11 @@
 	"sync/atomic"
 )
 
-// segmentHeaders is the size of the IPv4 and TCP headers with timestamps.
-const segmentHeaders = 52
+// segmentHeaderBytes is the size of the IPv4 and TCP headers with the timestamp option.
+const segmentHeaderBytes = 52
 
-// countingDialer opens connections that count what they send and receive. Each
-// write is taken for a segment and each read for one with its acknowledgement.
+// countingDialer opens connections that count the bytes that they send and receive. Each
+// write counts as one segment, and each read as one segment and its acknowledgement.
 type countingDialer struct {
 	dialer *net.Dialer
 	bytes  *atomic.Uint64
@@ -23,12 +23,12 @@
 	if err != nil {
 		return nil, err
 	}
-	dialer.bytes.Add(handshakeSegments * segmentHeaders)
+	dialer.bytes.Add(connectionSegments * segmentHeaderBytes)
 	return &countingConn{Conn: conn, bytes: dialer.bytes}, nil
 }
 
-// handshakeSegments are the segments that open and close a connection.
-const handshakeSegments = 7
+// connectionSegments is the number of segments that open and close a connection.
+const connectionSegments = 7
 
 type countingConn struct {
 	net.Conn
@@ -38,12 +38,12 @@
 // Read implements net.Conn.
 func (conn *countingConn) Read(buffer []byte) (int, error) {
 	size, err := conn.Conn.Read(buffer)
-	conn.bytes.Add(uint64(size + 2*segmentHeaders))
+	conn.bytes.Add(uint64(size + 2*segmentHeaderBytes))
 	return size, err
 }
 
 // Write implements net.Conn.
 func (conn *countingConn) Write(buffer []byte) (int, error) {
-	conn.bytes.Add(uint64(len(buffer) + segmentHeaders))
+	conn.bytes.Add(uint64(len(buffer) + segmentHeaderBytes))
 	return conn.Conn.Write(buffer)
 }
--- a/io/beryltarget/doc.go
+++ b/io/beryltarget/doc.go
@@ -1,8 +1,8 @@
-// Package beryltarget reaches back ends over HTTP.
+// Package beryltarget is the HTTP client of targets.
 //
-// The model: a model engine streams lines of JSON, each naming its request and
-// the offset of its text, and an explicit last line. A plain service takes the
-// caller's method, path and body. An error is a refusal whose verdict says
-// whether the target may have executed the request: "not run" only while no byte
-// of it can have reached the target, that is, before a connection was opened.
+// A model engine streams lines of JSON, each with the id of its request and the offset
+// of its text, and marks the last line. A plain service gets the method, path and body
+// of the caller. A failed request returns a refusal whose verdict says whether the target
+// may have executed the request. The verdict is NotRun only if no byte of the request can
+// have reached the target, that is, if no connection was opened.
 package beryltarget
--- a/io/beryltarget/stream.go
+++ b/io/beryltarget/stream.go
@@ -1,6 +1,6 @@
 package beryltarget
 
-// This file defines streams of model engines and the watch over their progress.
+// This file defines streams of model engines and the watchdog over their progress.
 
 import (
 	"bufio"
@@ -16,7 +16,7 @@
 	"berylspoke"
 )
 
-type wireDraft struct {
+type wireGeneration struct {
 	Request   string `json:"request"`
 	Prompt    string `json:"prompt"`
 	MaxTokens int64  `json:"maxTokens"`
@@ -37,38 +37,38 @@
 	Produced int64  `json:"produced"`
 }
 
-// maxLine bounds one line of a stream.
-const maxLine = 1 << 20
+// maxLineBytes bounds one line of a stream.
+const maxLineBytes = 1 << 20
 
-// errSilent ends a stream whose connection carries nothing although the engine
-// went on.
-var errSilent = errors.New("connection is silent while the engine produces")
+// errStalled ends a stream whose connection delivers nothing although the engine
+// produces tokens.
+var errStalled = errors.New("connection is silent while the engine produces")
 
-// Stream implements berylspoke.Targets; it returns nil after the last chunk.
-func (client *Client) Stream(ctx context.Context, target berylspoke.TargetID, draft berylspoke.Draft, sink func(berylspoke.Chunk) error) error {
+// Stream implements berylspoke.Targets. It returns nil after the last chunk.
+func (client *Client) Stream(ctx context.Context, target berylspoke.TargetID, generation berylspoke.Draft, sink func(berylspoke.Chunk) error) error {
 	address, err := client.url(target, "/v1/generate")
 	if err != nil {
 		return err
 	}
-	body, err := json.Marshal(wireDraft{
-		Request: string(draft.Request), Prompt: draft.Prompt,
-		MaxTokens: int64(draft.MaxTokens), Offset: int64(draft.Offset),
+	body, err := json.Marshal(wireGeneration{
+		Request: string(generation.Request), Prompt: generation.Prompt,
+		MaxTokens: int64(generation.MaxTokens), Offset: int64(generation.Offset),
 	})
 	if err != nil {
 		return errors.Wrap(err, "draft cannot be encoded")
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	watch := newWatch(client, target, draft, cancel)
-	defer watch.stop()
+	watchdog := startWatchdog(client, target, generation, cancel)
+	defer watchdog.stop()
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, address, bytes.NewReader(body))
 	if err != nil {
 		return errors.Wrap(err, "draft request cannot be made")
 	}
-	request.Header.Set(RequestHeader, string(draft.Request))
+	request.Header.Set(RequestHeader, string(generation.Request))
 	response, err := client.streams.Do(request)
 	if err != nil {
-		return cause(ctx, err)
+		return streamRefusal(ctx, err)
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
@@ -77,40 +77,40 @@
 			Cause: errors.Errorf("engine %s answers %s", target, response.Status),
 		}
 	}
-	return client.read(ctx, response, draft, watch, sink)
+	return client.readStream(ctx, response, generation, watchdog, sink)
 }
 
-// cause prefers the reason for which the stream was ended over what net/http
-// made of it.
-func cause(ctx context.Context, err error) *berylspoke.Refusal {
+// streamRefusal returns the refusal for an error of a stream. The cause for which its
+// context was cancelled takes precedence over the error of net/http that follows from it.
+func streamRefusal(ctx context.Context, err error) *berylspoke.Refusal {
 	if reason := context.Cause(ctx); reason != nil {
 		err = reason
 	}
-	return failure(err)
+	return targetRefusal(err)
 }
 
-// read passes chunks on in order, each byte once. A line of another request
-// or a gap shows that answers crossed; the stream ends there and is resumed
-// from the last offset that was passed on.
-func (client *Client) read(ctx context.Context, response *http.Response, draft berylspoke.Draft, watch *watch, sink func(berylspoke.Chunk) error) error {
+// readStream passes chunks to sink in order, each token once. A line of another request
+// or an unexpected offset shows that answers were mixed up; the stream then fails, and
+// the caller resumes it from the last offset that sink received.
+func (client *Client) readStream(ctx context.Context, response *http.Response, generation berylspoke.Draft, watchdog *watchdog, sink func(berylspoke.Chunk) error) error {
 	scanner := bufio.NewScanner(response.Body)
-	scanner.Buffer(make([]byte, 0, 4096), maxLine)
-	next := int64(draft.Offset)
+	scanner.Buffer(make([]byte, 0, 4096), maxLineBytes)
+	next := int64(generation.Offset)
 	for scanner.Scan() {
 		var line wireChunk
 		if err := json.Unmarshal(scanner.Bytes(), &line); err != nil {
-			return failure(errors.Wrap(err, "stream is garbled"))
+			return targetRefusal(errors.Wrap(err, "stream is garbled"))
 		}
 		switch {
 		case line.Error != "":
-			return failure(errors.Errorf("engine says %.200s", line.Error))
-		case line.Request != string(draft.Request):
-			return failure(errors.Errorf("stream names request %.80q", line.Request))
+			return targetRefusal(errors.Errorf("engine says %.200s", line.Error))
+		case line.Request != string(generation.Request):
+			return targetRefusal(errors.Errorf("stream names request %.80q", line.Request))
 		case line.Offset != next:
-			return failure(errors.Errorf("stream goes on at %d instead of %d", line.Offset, next))
+			return targetRefusal(errors.Errorf("stream goes on at %d instead of %d", line.Offset, next))
 		}
 		next += line.Tokens
-		watch.progressed(next)
+		watchdog.reportProgress(next)
 		chunk := berylspoke.Chunk{
 			Offset: berylspoke.Tokens(line.Offset), Text: line.Text,
 			Tokens: berylspoke.Tokens(line.Tokens), End: line.End,
@@ -123,24 +123,25 @@
 		}
 	}
 	if err := scanner.Err(); err != nil {
-		return cause(ctx, err)
+		return streamRefusal(ctx, err)
 	}
-	return cause(ctx, errors.New("stream ends before its last line"))
+	return streamRefusal(ctx, errors.New("stream ends before its last line"))
 }
 
-// progress asks the engine over a fresh connection how far a request is.
-func (client *Client) progress(ctx context.Context, target berylspoke.TargetID, request berylspoke.RequestID) (wireProgress, error) {
-	address, err := client.url(target, "/v1/requests?id="+url.QueryEscape(string(request)))
+// probe asks the engine over a new connection how many tokens of a request it has
+// produced.
+func (client *Client) probe(ctx context.Context, target berylspoke.TargetID, id berylspoke.RequestID) (wireProgress, error) {
+	address, err := client.url(target, "/v1/requests?id="+url.QueryEscape(string(id)))
 	if err != nil {
 		return wireProgress{}, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
+	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
-	ask, err := http.NewRequestWithContext(ctx, http.MethodGet, address, nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, address, nil)
 	if err != nil {
 		return wireProgress{}, err
 	}
-	response, err := client.streams.Do(ask)
+	response, err := client.streams.Do(request)
 	if err != nil {
 		return wireProgress{}, err
 	}
@@ -150,82 +151,85 @@
 	return state, err
 }
 
-// watch ends a stream that is silent rather than slow.
-type watch struct {
-	client   *Client
-	target   berylspoke.TargetID
-	draft    berylspoke.Draft
-	cancel   context.CancelCauseFunc
-	progress chan int64
-	done     chan struct{}
+// watchdog ends a stream whose connection has stalled, but not one whose engine is slow.
+type watchdog struct {
+	client     *Client
+	target     berylspoke.TargetID
+	generation berylspoke.Draft
+	cancel     context.CancelCauseFunc
+	progress   chan int64
+	done       chan struct{}
 }
 
-func newWatch(client *Client, target berylspoke.TargetID, draft berylspoke.Draft, cancel context.CancelCauseFunc) *watch {
-	found := &watch{
-		client: client, target: target, draft: draft, cancel: cancel,
+func startWatchdog(client *Client, target berylspoke.TargetID, generation berylspoke.Draft, cancel context.CancelCauseFunc) *watchdog {
+	started := &watchdog{
+		client: client, target: target, generation: generation, cancel: cancel,
 		progress: make(chan int64, 1), done: make(chan struct{}),
 	}
-	go found.run()
-	return found
+	go started.run()
+	return started
 }
 
-func (watch *watch) stop() { close(watch.done) }
+func (watchdog *watchdog) stop() { close(watchdog.done) }
 
-func (watch *watch) progressed(offset int64) {
+func (watchdog *watchdog) reportProgress(offset int64) {
 	select {
-	case <-watch.progress:
+	case <-watchdog.progress:
 	default:
 	}
-	watch.progress <- offset
+	watchdog.progress <- offset
 }
 
-// probeFailures is the number of unanswered probes that end a stream.
-const probeFailures = 2
-
-// run probes after each silence. Something between the two ends may have
-// forgotten the connection: it carries nothing more, without an error, while
-// new connections work. An engine that says over a new connection that it is
-// ahead of what arrived proves this; one that is not ahead is merely slow.
-func (watch *watch) run() {
-	received, patience, failures := int64(watch.draft.Offset), watch.client.options.FirstToken, 0
-	timer := time.NewTimer(patience)
+// maxProbeFailures is the number of failed probes without progress between them that ends
+// a stream.
+const maxProbeFailures = 2
+
+// run probes the engine whenever no chunk has arrived for the timeout. A middlebox may
+// have dropped the state of the connection, which then delivers nothing and reports no
+// error while new connections work. If the engine answers a probe with an offset beyond
+// what arrived, or does not know the request, the connection has stalled. Otherwise the
+// engine is only slow.
+func (watchdog *watchdog) run() {
+	received, timeout, failures := int64(watchdog.generation.Offset), watchdog.client.options.FirstTokenTimeout, 0
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	for {
 		select {
-		case <-watch.done:
+		case <-watchdog.done:
 			return
-		case received = <-watch.progress:
-			patience, failures = watch.client.options.Progress, 0
-			timer.Reset(patience)
+		case received = <-watchdog.progress:
+			timeout, failures = watchdog.client.options.ProgressTimeout, 0
+			timer.Reset(timeout)
 		case <-timer.C:
-			state, err := watch.client.progress(context.Background(), watch.target, watch.draft.Request)
+			state, err := watchdog.client.probe(context.Background(), watchdog.target, watchdog.generation.Request)
 			if err != nil {
 				failures++
 			}
-			silent := err == nil && (state.Produced > received || state.State == stateUnknown)
-			if silent && !watch.arrives(&received) || failures >= probeFailures {
-				watch.cancel(errSilent)
+			stalled := err == nil && (state.Produced > received || state.State == stateUnknown)
+			if stalled && !watchdog.progressArrives(&received) || failures >= maxProbeFailures {
+				watchdog.cancel(errStalled)
 				return
 			}
-			timer.Reset(patience)
+			timer.Reset(timeout)
 		}
 	}
 }
 
-// probeGrace is the time in which a token that the probe overtook arrives.
-const probeGrace = 250 * time.Millisecond
+// probeGracePeriod is the wait for a chunk that was in flight during the probe.
+const probeGracePeriod = 250 * time.Millisecond
 
-// arrives waits for progress that was on its way during a probe.
-func (watch *watch) arrives(received *int64) bool {
+// progressArrives waits for a chunk that was in flight during a probe and reports whether
+// one arrived or the stream has ended.
+func (watchdog *watchdog) progressArrives(received *int64) bool {
 	select {
-	case <-watch.done:
+	case <-watchdog.done:
 		return true
-	case *received = <-watch.progress:
+	case *received = <-watchdog.progress:
 		return true
-	case <-time.After(probeGrace):
+	case <-time.After(probeGracePeriod):
 		return false
 	}
 }
 
-// stateUnknown is what an engine says of a request that it does not have.
+// stateUnknown is the state that an engine reports for a request that it does not have.
 const stateUnknown = "unknown"
