--- a/io/berylcall/client.go
+++ b/io/berylcall/client.go
@@ -1,6 +1,6 @@
 package berylcall
 
-// This file defines the client and how it finds daemons.
+// This file defines the client and its resolution of daemons' addresses.
 
 import (
 	"context"
@@ -19,9 +19,9 @@
 const (
 	verdictHeader = "Berylspoke-Verdict"
 	idHeader      = "Berylspoke-Id"
-	// resolveTimeout bounds the wait for one daemon's addresses.
+	// resolveTimeout bounds one request for addresses or for the outcome of an id.
 	resolveTimeout = 3 * time.Second
-	maxAnswer      = 16 << 20
+	maxAnswerBytes = 16 << 20
 )
 
 type wireResolve struct {
@@ -39,7 +39,7 @@
 	Message    string `json:"message"`
 }
 
-// Failure is a refusal as the fleet reported it.
+// Failure is a refusal that a daemon answered with.
 type Failure struct {
 	Reason     berylspoke.Reason
 	Verdict    berylspoke.Verdict
@@ -70,55 +70,58 @@
 
 // Options are the settings of a client.
 type Options struct {
-	// Seeds are the callers' addresses of any daemons.
+	// Seeds are addresses at which some of the daemons serve callers.
 	Seeds []string
 	Key   string
-	// Fixed makes the client use the first seed and resolve nothing.
+	// Fixed makes the client send generation requests and reads to the seeds in turn
+	// instead of to resolved addresses.
 	Fixed bool
 }
 
-// Client calls the fleet for one organisation.
+// Client sends the requests of one organisation to the fleet.
 type Client struct {
-	options Options
-	http    *http.Client
-	mutex   sync.Mutex
-	found   wireResolve
-	until   time.Time
-	used    uint32
-	turn    int
+	options    Options
+	http       *http.Client
+	mutex      sync.Mutex
+	resolution wireResolve
+	validUntil time.Time
+	// nextNumber numbers the calls under the current ticket.
+	nextNumber uint32
+	nextSeed   int
 }
 
-// New returns a client that has resolved nothing yet.
+// New returns a client that resolves addresses on its first request.
 func New(options Options) *Client {
 	transport := &http.Transport{MaxIdleConnsPerHost: 64, IdleConnTimeout: 30 * time.Second}
 	return &Client{options: options, http: &http.Client{Transport: transport}}
 }
 
-// resolve returns the addresses in force, asking any seed when they are old.
+// resolve returns the cached addresses. When they have expired, it asks the seeds and the
+// last addresses for new ones, in turn.
 func (client *Client) resolve(ctx context.Context) (wireResolve, error) {
 	client.mutex.Lock()
 	defer client.mutex.Unlock()
-	if time.Now().Before(client.until) {
-		return client.found, nil
+	if time.Now().Before(client.validUntil) {
+		return client.resolution, nil
 	}
-	seeds := append(append([]string(nil), client.options.Seeds...), client.found.Addresses...)
-	var last error
+	seeds := append(append([]string(nil), client.options.Seeds...), client.resolution.Addresses...)
+	var lastErr error
 	for range seeds {
-		seed := seeds[client.turn%len(seeds)]
-		client.turn++
-		found, err := client.ask(ctx, seed)
+		seed := seeds[client.nextSeed%len(seeds)]
+		client.nextSeed++
+		resolution, err := client.resolveAt(ctx, seed)
 		if err != nil {
-			last = err
+			lastErr = err
 			continue
 		}
-		client.found, client.used = found, 0
-		client.until = time.Now().Add(time.Duration(found.KeepMs) * time.Millisecond)
-		return found, nil
+		client.resolution, client.nextNumber = resolution, 0
+		client.validUntil = time.Now().Add(time.Duration(resolution.KeepMs) * time.Millisecond)
+		return resolution, nil
 	}
-	return wireResolve{}, errors.Wrap(last, "no daemon tells an address")
+	return wireResolve{}, errors.Wrap(lastErr, "no daemon returned addresses")
 }
 
-func (client *Client) ask(ctx context.Context, seed string) (wireResolve, error) {
+func (client *Client) resolveAt(ctx context.Context, seed string) (wireResolve, error) {
 	ctx, cancel := context.WithTimeout(ctx, resolveTimeout)
 	defer cancel()
 	response, err := client.send(ctx, http.MethodGet, seed, "/v1/resolve", "", "", nil)
@@ -129,41 +132,42 @@
 	if response.StatusCode != http.StatusOK {
 		return wireResolve{}, readFailure(response)
 	}
-	var found wireResolve
-	err = json.NewDecoder(response.Body).Decode(&found)
-	return found, errors.Wrap(err, "addresses are garbled")
+	var resolution wireResolve
+	err = json.NewDecoder(response.Body).Decode(&resolution)
+	return resolution, errors.Wrap(err, "malformed answer to a request for addresses")
 }
 
-// Forget makes the next request resolve anew.
-func (client *Client) Forget() {
+// InvalidateAddresses expires the cached addresses and the ticket, so that the next
+// request resolves new ones.
+func (client *Client) InvalidateAddresses() {
 	client.mutex.Lock()
-	client.until = time.Time{}
+	client.validUntil = time.Time{}
 	client.mutex.Unlock()
 }
 
-// address returns the address for the given attempt of a draft or a read.
+// address returns the address for an attempt of a generation request or a read.
 func (client *Client) address(ctx context.Context, attempt int) (string, error) {
 	if client.options.Fixed {
 		return client.options.Seeds[attempt%len(client.options.Seeds)], nil
 	}
-	found, err := client.resolve(ctx)
+	resolution, err := client.resolve(ctx)
 	if err != nil {
 		return "", err
 	}
-	if len(found.Addresses) == 0 {
-		return found.Owner, nil
+	if len(resolution.Addresses) == 0 {
+		return resolution.Owner, nil
 	}
-	return found.Addresses[attempt%len(found.Addresses)], nil
+	return resolution.Addresses[attempt%len(resolution.Addresses)], nil
 }
 
-func (client *Client) send(ctx context.Context, method, address, path, id, kind string, body io.Reader) (*http.Response, error) {
+func (client *Client) send(ctx context.Context, method, address, path, id, contentType string, body io.Reader) (*http.Response, error) {
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, body)
 	if err != nil {
-		return nil, errors.Wrap(err, "request cannot be made")
+		return nil, errors.Wrap(err, "cannot create the request")
 	}
 	request.Header.Set("Authorization", "Bearer "+client.options.Key)
-	if kind != "" {
-		request.Header.Set("Content-Type", kind)
+	if contentType != "" {
+		request.Header.Set("Content-Type", contentType)
 	}
 	if id != "" {
 		request.Header.Set(idHeader, id)
@@ -171,12 +175,12 @@
 	return client.http.Do(request)
 }
 
-// readFailure reads the refusal of an answer that is not a success.
+// readFailure returns the refusal in an unsuccessful answer.
 func readFailure(response *http.Response) *Failure {
 	var wire struct {
 		Error wireError `json:"error"`
 	}
-	body, _ := io.ReadAll(io.LimitReader(response.Body, maxAnswer))
+	body, _ := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
 	if json.Unmarshal(body, &wire) == nil && wire.Error.Reason != "" {
 		return wire.Error.failure()
 	}
--- a/io/berylcall/doc.go
+++ b/io/berylcall/doc.go
@@ -1,3 +1,4 @@
-// Package berylcall is a caller of the fleet: it resolves an address, keeps it a
-// while, streams drafts and resumes them, and files calls that run at most once.
+// Package berylcall is a client of the fleet for callers. It resolves and caches the
+// addresses of daemons, streams generation requests and resumes them at other daemons,
+// and sends calls that run at most once.
 package berylcall
--- a/io/berylcall/generation.go
+++ b/io/berylcall/generation.go
@@ -1,6 +1,7 @@
 package berylcall
 
-// This file defines drafts: streaming, and resuming at another daemon.
+// This file defines generation requests (drafts, in the API): streaming, and resuming at
+// another daemon.
 
 import (
 	"bufio"
@@ -15,14 +16,14 @@
 	"berylspoke"
 )
 
-type wireDraftRequest struct {
+type wireGenerationRequest struct {
 	Prompt    string `json:"prompt"`
 	MaxTokens int64  `json:"maxTokens,omitempty"`
 	Hint      int64  `json:"hint,omitempty"`
 	Offset    int64  `json:"offset,omitempty"`
 }
 
-type wireDraftLine struct {
+type wireGenerationLine struct {
 	Offset  int64      `json:"offset"`
 	Text    string     `json:"text"`
 	Tokens  int64      `json:"tokens"`
@@ -31,60 +32,62 @@
 	Error   *wireError `json:"error"`
 }
 
-// Draft is a draft to be written.
+// Draft is a request for generated text.
 type Draft struct {
 	Service   berylspoke.ServiceID
 	Prompt    string
 	MaxTokens berylspoke.Tokens
 	Hint      berylspoke.Tokens
-	// Attempts bounds the daemons tried, zero means the default.
+	// Attempts bounds the attempts; zero means the default.
 	Attempts int
 }
 
 const (
 	defaultAttempts = 8
-	retryPause      = 300 * time.Millisecond
-	// lineTimeout is the silence after which a stream counts as lost: a daemon
-	// sends heartbeats while a request waits.
-	lineTimeout = 10 * time.Second
-	maxLine     = 1 << 20
+	minRetryDelay   = 300 * time.Millisecond
+	// silenceTimeout is the time without a line after which a stream counts as lost. A
+	// daemon sends heartbeats while a request waits.
+	silenceTimeout = 10 * time.Second
+	maxLineBytes   = 1 << 20
 )
 
-// Stream writes a draft and passes on each piece once and in order, resuming at
-// another daemon when one is lost; it returns the number of tokens.
-func (client *Client) Stream(ctx context.Context, draft Draft, sink func(text string, tokens berylspoke.Tokens)) (berylspoke.Tokens, error) {
-	attempts := draft.Attempts
-	if attempts == 0 {
-		attempts = defaultAttempts
+// Stream sends a generation request and passes each piece of the text to sink once and in
+// order. It resumes at another daemon if one fails, and returns the number of tokens.
+func (client *Client) Stream(ctx context.Context, generation Draft, sink func(text string, tokens berylspoke.Tokens)) (berylspoke.Tokens, error) {
+	maxAttempts := generation.Attempts
+	if maxAttempts == 0 {
+		maxAttempts = defaultAttempts
 	}
 	var next berylspoke.Tokens
-	var last error
-	for attempt := range attempts {
-		ended, err := client.streamOnce(ctx, draft, attempt, &next, sink)
-		if ended {
+	var lastErr error
+	for attempt := range maxAttempts {
+		complete, err := client.streamOnce(ctx, generation, attempt, &next, sink)
+		if complete {
 			return next, nil
 		}
-		last = err
-		if !client.again(ctx, err) {
+		lastErr = err
+		if !client.waitToRetry(ctx, err) {
 			return next, err
 		}
 	}
-	return next, errors.Wrapf(last, "draft failed after %d attempts", attempts)
+	return next, errors.Wrapf(lastErr, "generation request failed after %d attempts", maxAttempts)
 }
 
-// again waits as the fleet asked for and says whether another attempt is of use.
-func (client *Client) again(ctx context.Context, err error) bool {
-	wait := retryPause
+// waitToRetry reports whether to make another attempt. If one may succeed, it expires the
+// cached addresses and waits for the delay that the daemon asked for, or for minRetryDelay
+// if that is longer. It returns false if the context ends first.
+func (client *Client) waitToRetry(ctx context.Context, err error) bool {
+	delay := minRetryDelay
 	var failure *Failure
 	if errors.As(err, &failure) {
 		switch failure.Reason {
 		case berylspoke.ReasonMalformed, berylspoke.ReasonUnauthorised, berylspoke.ReasonUnknown, berylspoke.ReasonTicket:
 			return false
 		}
-		wait = max(failure.RetryAfter, wait)
+		delay = max(failure.RetryAfter, delay)
 	}
-	client.Forget()
-	timer := time.NewTimer(wait)
+	client.InvalidateAddresses()
+	timer := time.NewTimer(delay)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -94,44 +97,44 @@
 	}
 }
 
-func (client *Client) streamOnce(ctx context.Context, draft Draft, attempt int, next *berylspoke.Tokens, sink func(string, berylspoke.Tokens)) (bool, error) {
+func (client *Client) streamOnce(ctx context.Context, generation Draft, attempt int, next *berylspoke.Tokens, sink func(string, berylspoke.Tokens)) (bool, error) {
 	address, err := client.address(ctx, attempt)
 	if err != nil {
 		return false, err
 	}
-	body, err := json.Marshal(wireDraftRequest{draft.Prompt, int64(draft.MaxTokens), int64(draft.Hint), int64(*next)})
+	body, err := json.Marshal(wireGenerationRequest{generation.Prompt, int64(generation.MaxTokens), int64(generation.Hint), int64(*next)})
 	if err != nil {
-		return false, errors.Wrap(err, "draft cannot be encoded")
+		return false, errors.Wrap(err, "cannot encode the generation request")
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	silence := time.AfterFunc(lineTimeout, cancel)
-	defer silence.Stop()
-	response, err := client.send(ctx, http.MethodPost, address, "/v1/services/"+string(draft.Service)+"/drafts", "", "application/json", bytes.NewReader(body))
+	silenceTimer := time.AfterFunc(silenceTimeout, cancel)
+	defer silenceTimer.Stop()
+	response, err := client.send(ctx, http.MethodPost, address, "/v1/services/"+string(generation.Service)+"/drafts", "", "application/json", bytes.NewReader(body))
 	if err != nil {
-		return false, errors.Wrap(err, "daemon does not answer")
+		return false, errors.Wrap(err, "request to a daemon failed")
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
 		return false, readFailure(response)
 	}
 	scanner := bufio.NewScanner(response.Body)
-	scanner.Buffer(make([]byte, 0, 4096), maxLine)
+	scanner.Buffer(make([]byte, 0, 4096), maxLineBytes)
 	for scanner.Scan() {
-		silence.Reset(lineTimeout)
-		ended, err := take(scanner.Bytes(), next, sink)
-		if ended || err != nil {
-			return ended, err
+		silenceTimer.Reset(silenceTimeout)
+		complete, err := handleLine(scanner.Bytes(), next, sink)
+		if complete || err != nil {
+			return complete, err
 		}
 	}
 	return false, errors.New("stream was cut before its end")
 }
 
-// take handles one line of a stream.
-func take(line []byte, next *berylspoke.Tokens, sink func(string, berylspoke.Tokens)) (bool, error) {
-	var wire wireDraftLine
+// handleLine handles one line of a stream and reports whether it is the last one.
+func handleLine(line []byte, next *berylspoke.Tokens, sink func(string, berylspoke.Tokens)) (bool, error) {
+	var wire wireGenerationLine
 	if err := json.Unmarshal(line, &wire); err != nil {
-		return false, errors.Wrap(err, "stream is garbled")
+		return false, errors.Wrap(err, "malformed line in the stream")
 	}
 	switch {
 	case wire.Waiting:
@@ -139,7 +142,7 @@
 	case wire.Error != nil:
 		return false, wire.Error.failure()
 	case wire.Offset != int64(*next):
-		return false, errors.Errorf("stream goes on at %d instead of %d", wire.Offset, *next)
+		return false, errors.Errorf("stream continues at offset %d instead of %d", wire.Offset, *next)
 	}
 	if wire.Tokens > 0 {
 		sink(wire.Text, berylspoke.Tokens(wire.Tokens))
