--- a/io/berylcall/generation.go
+++ b/io/berylcall/generation.go
@@ -127,7 +127,7 @@
 			return complete, err
 		}
 	}
-	return false, errors.New("stream was cut before its end")
+	return false, errors.New("stream ended before its last line")
 }
 
 // handleLine handles one line of a stream and reports whether it is the last one.
