--- a/soak/cost_test.go
+++ b/soak/cost_test.go
@@ -17,24 +17,23 @@
 	"berylspoke/platform/beryldouble"
 )
 
-// BenchmarkDraft measures what one daemon spends on a draft of twelve events:
-// processor time in the process and in the kernel for it. Callers keep their
-// connections; the targets are doubles in this process.
+// BenchmarkDraft measures the user and system CPU time of one daemon for a draft of
+// twelve events. Callers keep their connections; the targets are fakes in this process.
 func BenchmarkDraft(b *testing.B) {
 	benchmarkRequests(b, beryldouble.Ask{
-		Host: "h.example", Path: pathDraft, Key: keyOf(0, 0), Method: http.MethodPost, TimeLeft: 8 * time.Second,
+		Host: "h.example", Path: pathDraft, Key: callerKey(0, 0), Method: http.MethodPost, TimeLeft: 8 * time.Second,
 		Body: 3000, Input: 3000, Output: 96, Parts: "a:700,b:700,c:1600",
 	}, 30)
 }
 
-// BenchmarkLook does the same for a short request without a stream.
+// BenchmarkLook measures the same for a short request without a stream.
 func BenchmarkLook(b *testing.B) {
 	benchmarkRequests(b, beryldouble.Ask{
-		Host: "h.example", Path: pathLook, Key: keyOf(0, 0), Method: http.MethodGet, TimeLeft: 3 * time.Second,
+		Host: "h.example", Path: pathLook, Key: callerKey(0, 0), Method: http.MethodGet, TimeLeft: 3 * time.Second,
 	}, 10)
 }
 
-func benchmarkRequests(b *testing.B, ask beryldouble.Ask, parallel int) {
+func benchmarkRequests(b *testing.B, request beryldouble.Ask, parallel int) {
 	world, err := NewWorld(program, b.TempDir(), Size{VMs: 1, Engines: 30, Desks: 10, MemoryMB: 184})
 	if world != nil {
 		defer world.Close()
@@ -49,16 +48,16 @@
 		defer caller.Close()
 		sending.Go(func() {
 			for job := range jobs {
-				own := ask
-				own.ID = fmt.Sprintf("bench-%d", job)
-				world.judge.asks(own.ID, &asked{path: ask.Path, organisation: organisationName(0)})
-				if answer := caller.Send(context.Background(), process.vm.Callers(), own); !answer.Served() {
+				numbered := request
+				numbered.ID = fmt.Sprintf("bench-%d", job)
+				world.judge.recordSent(numbered.ID, &attempt{path: request.Path, organisation: organisationName(0)})
+				if answer := caller.Send(context.Background(), process.vm.Callers(), numbered); !answer.Served() {
 					failed.Add(1)
 				}
 			}
 		})
 	}
-	user, system := spent(b, process)
+	user, system := cpuMillis(b, process)
 	b.ResetTimer()
 	for i := range b.N {
 		jobs <- i
@@ -66,23 +65,23 @@
 	close(jobs)
 	sending.Wait()
 	b.StopTimer()
-	userAfter, systemAfter := spent(b, process)
+	userAfter, systemAfter := cpuMillis(b, process)
 	b.ReportMetric(float64(userAfter-user)/float64(b.N)*1e3, "user-us/op")
 	b.ReportMetric(float64(systemAfter-system)/float64(b.N)*1e3, "system-us/op")
 	b.ReportMetric(float64(failed.Load()), "failed")
 }
 
-// spent returns the processor time of a process in milliseconds.
-func spent(b *testing.B, process *process) (user, system int64) {
+// cpuMillis returns the user and system CPU time of a process in milliseconds.
+func cpuMillis(b *testing.B, process *process) (user, system int64) {
 	b.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", process.command.Process.Pid))
 	require.NoError(b, err)
-	// The name of the program, in brackets, may hold blanks.
+	// The program name, in parentheses, may contain spaces.
 	fields := strings.Fields(string(text[strings.LastIndexByte(string(text), ')')+1:]))
-	const userField, systemField, tick = 11, 12, 10
+	const userField, systemField, tickMillis = 11, 12, 10
 	user, err = strconv.ParseInt(fields[userField], 10, 64)
 	require.NoError(b, err)
 	system, err = strconv.ParseInt(fields[systemField], 10, 64)
 	require.NoError(b, err)
-	return user * tick, system * tick
+	return user * tickMillis, system * tickMillis
 }
--- a/soak/declared.go
+++ b/soak/declared.go
@@ -8,60 +8,60 @@
 	"berylspoke/platform/beryldouble"
 )
 
-// The services and the routes that all versions hold.
+// The services and the paths of the routes; pathAdded is not in all versions.
 const (
-	engines    = "pen-servers"
-	desks      = "post-desk"
-	pathDraft  = "/draft/"
-	pathResume = "/resume/"
-	pathBook   = "/book/"
-	pathLook   = "/look/"
-	pathAdded  = "/added/"
-	organised  = 6
+	engineService     = "pen-servers"
+	deskService       = "post-desk"
+	pathDraft         = "/draft/"
+	pathResume        = "/resume/"
+	pathBook          = "/book/"
+	pathLook          = "/look/"
+	pathAdded         = "/added/"
+	organisationCount = 6
 )
 
-// declared is what differs between the versions.
-type declared struct {
-	// added says that the extra route is there.
-	added bool
-	// revoked is the number of keys that were taken away.
-	revoked int
+// configState is what differs between the published versions.
+type configState struct {
+	// addedRoute is set if the version has the route of pathAdded.
+	addedRoute bool
+	// revokedKeys is the number of organisations whose second key is revoked.
+	revokedKeys int
 }
 
-// keyOf returns the key of an organisation; each has two, of which only the
-// second is ever taken away.
-func keyOf(organisation, key int) string { return fmt.Sprintf("key-%d-%d", organisation, key) }
+// callerKey returns a key of an organisation. Each organisation has two keys, and only
+// the second is ever revoked.
+func callerKey(organisation, key int) string { return fmt.Sprintf("key-%d-%d", organisation, key) }
 
 func organisationName(organisation int) string { return fmt.Sprintf("organisation-%d", organisation) }
 
-// publish declares a new version and tells the judge when it was accepted.
-func (world *World) publish(declared declared) error {
+// publish publishes a new version and records it with the judge once the store has it.
+func (world *World) publish(state configState) error {
 	world.version++
 	configuration := beryldouble.Configuration{
 		Version: world.version, Host: "h.example", Throughput: 400_000,
-		Services: []beryldouble.Service{{Name: engines, Slots: 16, Memory: 400_000, Event: 8}, {Name: desks}},
+		Services: []beryldouble.Service{{Name: engineService, Slots: 16, Memory: 400_000, Event: 8}, {Name: deskService}},
 		Routes: []beryldouble.Route{
-			{Name: "draft", Prefix: pathDraft, Kind: "streaming", Service: engines, TimeoutMillis: 8000, ObjectiveMillis: 800, Attempts: 1},
-			{Name: "resume", Prefix: pathResume, Kind: "streaming", Service: engines, TimeoutMillis: 8000, ObjectiveMillis: 800, Attempts: 3, Resumable: true},
-			{Name: "book", Prefix: pathBook, Kind: "non_idempotent", Service: desks, TimeoutMillis: 3000, ObjectiveMillis: 300, Attempts: 1},
-			{Name: "look", Prefix: pathLook, Kind: "idempotent", Service: desks, TimeoutMillis: 3000, ObjectiveMillis: 300, Attempts: 2},
+			{Name: "draft", Prefix: pathDraft, Kind: "streaming", Service: engineService, TimeoutMillis: 8000, ObjectiveMillis: 800, Attempts: 1},
+			{Name: "resume", Prefix: pathResume, Kind: "streaming", Service: engineService, TimeoutMillis: 8000, ObjectiveMillis: 800, Attempts: 3, Resumable: true},
+			{Name: "book", Prefix: pathBook, Kind: "non_idempotent", Service: deskService, TimeoutMillis: 3000, ObjectiveMillis: 300, Attempts: 1},
+			{Name: "look", Prefix: pathLook, Kind: "idempotent", Service: deskService, TimeoutMillis: 3000, ObjectiveMillis: 300, Attempts: 2},
 		},
 	}
-	if declared.added {
+	if state.addedRoute {
 		configuration.Routes = append(configuration.Routes, beryldouble.Route{
-			Name: "added", Prefix: pathAdded, Kind: "idempotent", Service: desks, TimeoutMillis: 3000, ObjectiveMillis: 300, Attempts: 2,
+			Name: "added", Prefix: pathAdded, Kind: "idempotent", Service: deskService, TimeoutMillis: 3000, ObjectiveMillis: 300, Attempts: 2,
 		})
 	}
-	for i := range organised {
-		keys := []string{keyOf(i, 0)}
-		if i >= declared.revoked {
-			keys = append(keys, keyOf(i, 1))
+	for i := range organisationCount {
+		keys := []string{callerKey(i, 0)}
+		if i >= state.revokedKeys {
+			keys = append(keys, callerKey(i, 1))
 		}
 		configuration.Organisations = append(configuration.Organisations, beryldouble.Organisation{Name: organisationName(i), Keys: keys})
 	}
 	if err := configuration.Publish(world.store); err != nil {
 		return err
 	}
-	world.judge.declares(declared)
+	world.judge.recordPublished(state)
 	return nil
 }
--- a/soak/doc.go
+++ b/soak/doc.go
@@ -1,17 +1,16 @@
 // Package berylsoak runs the real program as separate processes on one machine,
-// harms them from outside, and checks what callers and targets see.
+// injects faults from outside, and checks what callers and targets observe.
 //
-// The model: a World holds a store, targets and one process for each VM, each
-// with a loopback address of its own. Relays stand between callers and daemons,
-// daemons and store, daemons and targets; they delay, reset, cut one way or
-// silence what passes. A plan drawn from a seed says which faults come when:
-// they come in series and overlap. Callers send on throughout and keep their
-// connections until the process is gone. The Judge notes each run at a target
-// and each answer at a caller as they come, and holds them against the promises;
-// after the last fault the fleet must serve again.
+// A World holds a store, targets and one process for each VM, each with its own
+// loopback address. Relays between callers and daemons, daemons and the store, and
+// daemons and targets delay, reset, black-hole or drop one direction of the
+// traffic. A plan derived from a seed gives the times of the faults, which repeat
+// and overlap. Callers send requests throughout and keep their connections until
+// the process exits. The Judge records each run at a target and each answer at a
+// caller and checks them against the guarantees of the fleet, which must serve
+// again after the last fault.
 //
-// The same seed gives the same plan and the same requests. The machine decides
-// what happens between, so a promise is checked in a form that holds whatever
-// the machine's speed is: bounds of time are only checked where a wide margin
-// was added to them.
+// The same seed gives the same plan and the same requests, but scheduling differs
+// from run to run. Guarantees are therefore checked in a form that does not depend
+// on the speed of the machine; time bounds are checked only with a wide margin.
 package berylsoak
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -12,10 +12,10 @@
 	"berylspoke/io/berylstand"
 )
 
-// fault is one thing that is done to the world.
+// fault is one kind of fault or planned operation.
 type fault struct {
 	name string
-	// planned faults are planned work, around which no request may be cut.
+	// planned marks a planned operation, which may cut no request.
 	planned bool
 	do      func(world *World, step step)
 }
@@ -24,95 +24,103 @@
 type step struct {
 	at    time.Duration
 	fault *fault
-	// pick chooses what is hit, lasts is how long, draw is one more number.
-	pick  int
-	lasts time.Duration
-	draw  float64
+	// index selects the process or target, modulo their number; chance is a random
+	// number from 0 to 1.
+	index    int
+	duration time.Duration
+	chance   float64
 }
 
-// String returns the step as it is printed.
 func (step step) String() string {
-	return fmt.Sprintf("%7.3f s %s %d for %s", step.at.Seconds(), step.fault.name, step.pick, step.lasts)
+	return fmt.Sprintf("%7.3f s %s %d for %s", step.at.Seconds(), step.fault.name, step.index, step.duration)
 }
 
 var faults = []*fault{
-	{"stop", true, func(world *World, step step) { world.restart(world.process(step), syscall.SIGTERM, step.lasts/4) }},
+	{"stop", true, func(world *World, step step) { world.restart(world.process(step), syscall.SIGTERM, step.duration/4) }},
 	{"reload", true, func(world *World, step step) { world.process(step).signal(syscall.SIGHUP) }},
-	{"declare", true, func(world *World, step step) { world.declareNext() }},
-	{"leave", true, func(world *World, step step) { world.leave(step) }},
-	{"join", true, func(world *World, step step) { _, _ = world.addTarget([]string{engines, desks}[step.pick%2]) }},
-	{"kill", false, func(world *World, step step) { world.restart(world.process(step), syscall.SIGKILL, step.lasts/3) }},
-	{"herdKill", false, func(world *World, step step) { world.herdKill(step) }},
-	{"pause", false, func(world *World, step step) { world.pause(world.process(step), step.lasts) }},
+	{"declare", true, func(world *World, step step) { world.publishNext() }},
+	{"leave", true, func(world *World, step step) { world.drainTarget(step) }},
+	{"join", true, func(world *World, step step) {
+		_, _ = world.addTarget([]string{engineService, deskService}[step.index%2])
+	}},
+	{"kill", false, func(world *World, step step) { world.restart(world.process(step), syscall.SIGKILL, step.duration/3) }},
+	{"herdKill", false, func(world *World, step step) { world.killHalf(step) }},
+	{"pause", false, func(world *World, step step) { world.suspend(world.process(step), step.duration) }},
 	{"resetCallers", false, func(world *World, step step) { world.process(step).callers.Reset() }},
 	{"silenceCallers", false, func(world *World, step step) { world.process(step).callers.Forget() }},
-	{"slowStore", false, func(world *World, step step) { world.harmStore(step, berylstand.Harm{Delay: 300 * time.Millisecond}) }},
-	{"refuseStore", false, func(world *World, step step) { world.harmStore(step, berylstand.Harm{Refuse: true}) }},
-	{"cutStoreForth", false, func(world *World, step step) { world.harmStore(step, berylstand.Harm{SwallowForth: true}) }},
-	{"cutStoreBack", false, func(world *World, step step) { world.harmStore(step, berylstand.Harm{SwallowBack: true}) }},
+	{"slowStore", false, func(world *World, step step) { world.impairStore(step, berylstand.Harm{Delay: 300 * time.Millisecond}) }},
+	{"refuseStore", false, func(world *World, step step) { world.impairStore(step, berylstand.Harm{Refuse: true}) }},
+	{"cutStoreForth", false, func(world *World, step step) { world.impairStore(step, berylstand.Harm{SwallowForth: true}) }},
+	{"cutStoreBack", false, func(world *World, step step) { world.impairStore(step, berylstand.Harm{SwallowBack: true}) }},
 	{"silenceStore", false, func(world *World, step step) { world.process(step).store.Forget() }},
 	{"loseHistory", false, func(world *World, step step) { world.store.Forget() }},
-	{"slowTarget", false, func(world *World, step step) { world.harmTarget(step, berylstand.Harm{Delay: 200 * time.Millisecond}) }},
-	{"cutTargetForth", false, func(world *World, step step) { world.harmTarget(step, berylstand.Harm{SwallowForth: true}) }},
-	{"cutTargetBack", false, func(world *World, step step) { world.harmTarget(step, berylstand.Harm{SwallowBack: true}) }},
+	{"slowTarget", false, func(world *World, step step) {
+		world.impairTarget(step, berylstand.Harm{Delay: 200 * time.Millisecond})
+	}},
+	{"cutTargetForth", false, func(world *World, step step) { world.impairTarget(step, berylstand.Harm{SwallowForth: true}) }},
+	{"cutTargetBack", false, func(world *World, step step) { world.impairTarget(step, berylstand.Harm{SwallowBack: true}) }},
 	{"resetTarget", false, func(world *World, step step) { world.target(step).relay.Reset() }},
 	{"silenceTarget", false, func(world *World, step step) { world.target(step).relay.Forget() }},
-	{"hangTarget", false, func(world *World, step step) { world.hang(step) }},
-	{"crashTarget", false, func(world *World, step step) { world.crash(step) }},
+	{"hangTarget", false, func(world *World, step step) { world.hangTarget(step) }},
+	{"crashTarget", false, func(world *World, step step) { world.crashTarget(step) }},
 }
 
 const (
-	// plannedShare is the part of a soak in which only planned work is done.
-	plannedShare = 0.35
-	// lastsLeast and lastsMost bound how long a fault lasts.
-	lastsLeast, lastsMost = 500 * time.Millisecond, 4 * time.Second
-	// pauseMean is the mean time between two faults; most overlap.
-	pauseMean = 700 * time.Millisecond
-	// allOf is the part of the faults of the store that hit all processes.
-	allOf = 0.25
-	// seriesOf is the chance that a fault is the same as the one before.
-	seriesOf = 0.3
+	// plannedFraction is the initial fraction of a soak that has only planned
+	// operations.
+	plannedFraction = 0.35
+	// minDuration and maxDuration bound the duration of a fault.
+	minDuration, maxDuration = 500 * time.Millisecond, 4 * time.Second
+	// meanInterval is the mean time between the starts of two faults; most faults
+	// overlap.
+	meanInterval = 700 * time.Millisecond
+	// allProcessesProbability is the probability that a fault of the store affects
+	// all processes.
+	allProcessesProbability = 0.25
+	// repeatProbability is the probability that a fault repeats the previous one.
+	repeatProbability = 0.3
 )
 
-// newPlan draws the faults of a seed.
+// newPlan draws the faults of a soak at random.
 func newPlan(random *rand.Rand, size Size) []step {
 	var plan []step
 	var last *fault
 	length := time.Duration(size.Seconds) * time.Second
 	for at := time.Duration(0); ; {
-		at += time.Duration(random.ExpFloat64() * float64(pauseMean))
+		at += time.Duration(random.ExpFloat64() * float64(meanInterval))
 		if at > length {
 			return plan
 		}
-		planned := float64(at) < plannedShare*float64(length)
+		planned := float64(at) < plannedFraction*float64(length)
 		chosen := faults[random.IntN(len(faults))]
 		for planned && !chosen.planned {
 			chosen = faults[random.IntN(len(faults))]
 		}
-		if last != nil && random.Float64() < seriesOf && (last.planned || !planned) {
+		if last != nil && random.Float64() < repeatProbability && (last.planned || !planned) {
 			chosen = last
 		}
 		last = chosen
 		plan = append(plan, step{
-			at: at, fault: chosen, pick: random.IntN(1 << 16), draw: random.Float64(),
-			lasts: lastsLeast + time.Duration(random.Float64()*float64(lastsMost-lastsLeast)),
+			at: at, fault: chosen, index: random.IntN(1 << 16), chance: random.Float64(),
+			duration: minDuration + time.Duration(random.Float64()*float64(maxDuration-minDuration)),
 		})
 	}
 }
 
 func (world *World) process(step step) *process {
-	return world.processes[step.pick%len(world.processes)]
+	return world.processes[step.index%len(world.processes)]
 }
 
-// target returns the target that a step picks among those of the world, in the
-// order of their ids.
+// target returns the target that a step selects from those of the world, ordered
+// by id.
 func (world *World) target(step step) *target {
 	world.mutex.Lock()
 	defer world.mutex.Unlock()
-	return world.targets[world.targetIDs("")[step.pick%len(world.targets)]]
+	return world.targets[world.targetIDs("")[step.index%len(world.targets)]]
 }
 
-// targetIDs returns the ids of the targets of a service, or of all.
+// targetIDs returns the sorted ids of the targets of a service, or of all targets if
+// service is empty.
 func (world *World) targetIDs(service string) []string {
 	var ids []string
 	for id, target := range world.targets {
@@ -124,119 +132,122 @@
 	return ids
 }
 
-// take removes a target from the world if others of its service are left.
-func (world *World) take(step step) *target {
+// removeTarget removes a target from the world. It returns nil if the service would
+// have fewer than two targets remaining.
+func (world *World) removeTarget(step step) *target {
 	chosen := world.target(step)
 	world.mutex.Lock()
 	defer world.mutex.Unlock()
-	const least = 2
-	if len(world.targetIDs(chosen.service)) <= least {
+	const minTargets = 2
+	if len(world.targetIDs(chosen.service)) <= minTargets {
 		return nil
 	}
 	delete(world.targets, chosen.ID())
 	return chosen
 }
 
-// leave makes a target leave as planned: it says so, and ends long after.
-func (world *World) leave(step step) {
-	chosen := world.take(step)
+// drainTarget drains a target as planned: it is published as draining and stops only
+// after the grace period.
+func (world *World) drainTarget(step step) {
+	chosen := world.removeTarget(step)
 	if chosen == nil {
 		return
 	}
 	chosen.Leave()
-	world.judge.leaves(chosen.ID(), time.Now())
-	const serveOn = leaveWithin + 2*time.Second
-	time.Sleep(serveOn)
+	world.judge.recordDraining(chosen.ID(), time.Now())
+	const drainDuration = drainGracePeriod + 2*time.Second
+	time.Sleep(drainDuration)
 	chosen.Withdraw()
 	chosen.relay.Close()
 }
 
-// crash ends a target without a word, and starts another one later.
-func (world *World) crash(step step) {
-	chosen := world.take(step)
+// crashTarget crashes a target, whose entry stays in the store for a while, and then
+// starts another one.
+func (world *World) crashTarget(step step) {
+	chosen := world.removeTarget(step)
 	if chosen == nil {
 		return
 	}
 	chosen.Crash()
 	chosen.relay.Close()
-	time.Sleep(step.lasts)
+	time.Sleep(step.duration)
 	chosen.Expire()
 	_, _ = world.addTarget(chosen.service)
 }
 
-// hang makes a target take requests without answering for a while.
-func (world *World) hang(step step) {
+// hangTarget makes a target accept requests without answering for a while.
+func (world *World) hangTarget(step step) {
 	chosen := world.target(step)
 	chosen.Silence(true)
-	time.Sleep(step.lasts)
+	time.Sleep(step.duration)
 	chosen.Silence(false)
 }
 
-func (world *World) harmTarget(step step, harm berylstand.Harm) {
+func (world *World) impairTarget(step step, impairment berylstand.Harm) {
 	chosen := world.target(step)
-	chosen.relay.SetHarm(harm)
-	time.Sleep(step.lasts)
+	chosen.relay.SetHarm(impairment)
+	time.Sleep(step.duration)
 	chosen.relay.SetHarm(berylstand.Harm{})
 }
 
-// harmStore harms the way of one process to the store, or of all.
-func (world *World) harmStore(step step, harm berylstand.Harm) {
-	harmed := []*process{world.process(step)}
-	if step.draw < allOf {
-		harmed = world.processes
-		world.judge.storeLost(time.Now().Add(step.lasts))
+// impairStore impairs the connections of one process to the store, or of all.
+func (world *World) impairStore(step step, impairment berylstand.Harm) {
+	impaired := []*process{world.process(step)}
+	if step.chance < allProcessesProbability {
+		impaired = world.processes
+		world.judge.recordStoreOutage(time.Now().Add(step.duration))
 	}
-	for _, process := range harmed {
-		process.store.SetHarm(harm)
+	for _, process := range impaired {
+		process.store.SetHarm(impairment)
 	}
-	time.Sleep(step.lasts)
-	for _, process := range harmed {
+	time.Sleep(step.duration)
+	for _, process := range impaired {
 		process.store.SetHarm(berylstand.Harm{})
 	}
 }
 
-// restart ends a process by a signal and starts it again after a while.
-func (world *World) restart(process *process, signal syscall.Signal, pause time.Duration) {
-	if !process.claim() {
+// restart stops a process by a signal and starts it again after a while.
+func (world *World) restart(process *process, signal syscall.Signal, downtime time.Duration) {
+	if !process.claimStop() {
 		return
 	}
 	process.signal(signal)
-	process.end((stopSeconds + 1) * time.Second)
-	time.Sleep(pause)
+	process.awaitExit((stopSeconds + 1) * time.Second)
+	time.Sleep(downtime)
 	if err := world.start(process); err != nil {
-		world.judge.exited(process.vm.Name, err)
+		world.judge.recordExit(process.vm.Name, err)
 	}
 }
 
-// herdKill kills half of the processes at once.
-func (world *World) herdKill(step step) {
+// killHalf kills half of the processes at once.
+func (world *World) killHalf(step step) {
 	for i, process := range world.processes {
-		if i%2 == step.pick%2 {
-			go world.restart(process, syscall.SIGKILL, step.lasts/3)
+		if i%2 == step.index%2 {
+			go world.restart(process, syscall.SIGKILL, step.duration/3)
 		}
 	}
-	time.Sleep(step.lasts)
+	time.Sleep(step.duration)
 }
 
-// pause stops a process for a while, as a VM that is suspended.
-func (world *World) pause(process *process, lasts time.Duration) {
+// suspend stops a process for a while, like a suspended VM.
+func (world *World) suspend(process *process, duration time.Duration) {
 	process.signal(syscall.SIGSTOP)
-	time.Sleep(lasts)
+	time.Sleep(duration)
 	process.signal(syscall.SIGCONT)
 }
 
-// declareNext publishes the next version: first the added route, then one key
-// less with each.
-func (world *World) declareNext() {
+// publishNext publishes the next version: the first adds a route, each later one
+// revokes a key.
+func (world *World) publishNext() {
 	world.mutex.Lock()
 	defer world.mutex.Unlock()
-	next := world.judge.newestDeclared()
-	if !next.added {
-		next.added = true
-	} else if next.revoked < organised-1 {
-		next.revoked++
+	next := world.judge.newestPublished()
+	if !next.addedRoute {
+		next.addedRoute = true
+	} else if next.revokedKeys < organisationCount-1 {
+		next.revokedKeys++
 	}
 	if err := world.publish(next); err != nil {
-		panic(err) // the declaration is the soak's own and always encodes
+		panic(err) // the configuration is made by the soak and always encodes
 	}
 }
--- a/soak/judge.go
+++ b/soak/judge.go
@@ -1,6 +1,6 @@
 package berylsoak
 
-// This file defines what is checked.
+// This file defines the guarantees that are checked.
 
 import (
 	"context"
@@ -15,178 +15,177 @@
 )
 
 const (
-	// leaveWithin is the time after which a target that said that it leaves gets
-	// nothing new: four seconds are promised, and a busy machine gets as much again
-	// and half.
-	leaveWithin = 10 * time.Second
-	// violationsMost bounds the violations that are kept.
-	violationsMost = 20
+	// drainGracePeriod is the time after which a draining target gets no new requests.
+	// The guarantee is four seconds; one and a half times as much again is for busy
+	// machines.
+	drainGracePeriod = 10 * time.Second
+	// maxViolations bounds the recorded violations.
+	maxViolations = 20
 )
 
-// Violation is one broken promise.
+// Violation is one violated guarantee; At is the time since the start of the soak.
 type Violation struct {
-	At      time.Duration
-	Promise string
-	Detail  string
+	At        time.Duration
+	Guarantee string
+	Detail    string
 }
 
-// String returns the violation as it is printed.
 func (violation Violation) String() string {
-	return fmt.Sprintf("%7.3f s %s: %s", violation.At.Seconds(), violation.Promise, violation.Detail)
+	return fmt.Sprintf("%7.3f s %s: %s", violation.At.Seconds(), violation.Guarantee, violation.Detail)
 }
 
-// asked is one attempt of a caller and what became of it.
-type asked struct {
+// attempt is one attempt of a caller, with its runs and its answer.
+type attempt struct {
 	path, organisation string
-	// boot names the run of the process that was asked.
-	boot     string
-	sent     time.Time
-	runs     []beryldouble.Run
-	answered bool
-	answer   beryldouble.Answer
-	// planned is set if nothing but planned work was under way.
+	// processRun names the run of the process that the attempt was sent to.
+	processRun string
+	sent       time.Time
+	runs       []beryldouble.Run
+	answered   bool
+	answer     beryldouble.Answer
+	// planned is set if no unplanned fault had started when the attempt was sent.
 	planned bool
 }
 
-// repeatable says whether the request may run more than once.
-func (asked *asked) repeatable() bool {
-	return strings.HasPrefix(asked.path, pathLook) || strings.HasPrefix(asked.path, pathResume) || strings.HasPrefix(asked.path, pathAdded)
+// repeatable reports whether the request may run more than once.
+func (attempt *attempt) repeatable() bool {
+	return strings.HasPrefix(attempt.path, pathLook) || strings.HasPrefix(attempt.path, pathResume) || strings.HasPrefix(attempt.path, pathAdded)
 }
 
-// Judge holds what callers and targets saw against the promises.
+// Judge checks what callers and targets observe against the guarantees.
 type Judge struct {
 	mutex    sync.Mutex
-	began    time.Time
-	requests map[string]*asked
-	// left is when targets said that they leave; until blind no process reaches
-	// the store.
-	left  map[string]time.Time
-	blind time.Time
-	// unplanned is set once something else than planned work is done.
+	started  time.Time
+	attempts map[string]*attempt
+	// drainingSince has the times at which targets were published as draining. Until
+	// storeOutageUntil no process reaches the store.
+	drainingSince    map[string]time.Time
+	storeOutageUntil time.Time
+	// unplanned is set once the first unplanned fault starts.
 	unplanned bool
-	newest    declared
-	// seen is what each run of a process showed of the configuration.
-	seen       map[string]shown
+	newest    configState
+	// observed is what each run of a process has shown of its configuration.
+	observed   map[string]observedConfig
 	violations []Violation
 	served     int
-	// counts are the answers by status.
-	counts map[string]int
+	// answerCounts are the numbers of answers by outcomeLabel.
+	answerCounts map[string]int
 }
 
 func newJudge() *Judge {
 	return &Judge{
-		began: time.Now(), requests: make(map[string]*asked), left: make(map[string]time.Time),
-		seen: make(map[string]shown), counts: make(map[string]int),
+		started: time.Now(), attempts: make(map[string]*attempt), drainingSince: make(map[string]time.Time),
+		observed: make(map[string]observedConfig), answerCounts: make(map[string]int),
 	}
 }
 
-func (judge *Judge) violate(promise, detail string, values ...any) {
-	if len(judge.violations) < violationsMost {
-		judge.violations = append(judge.violations, Violation{time.Since(judge.began), promise, fmt.Sprintf(detail, values...)})
+func (judge *Judge) addViolation(guarantee, detail string, values ...any) {
+	if len(judge.violations) < maxViolations {
+		judge.violations = append(judge.violations, Violation{time.Since(judge.started), guarantee, fmt.Sprintf(detail, values...)})
 	}
 }
 
-// exited notes the end of a process that nobody had asked for.
-func (judge *Judge) exited(vm string, err error) {
+// recordExit records an unexpected exit of a process, or a failure to restart it.
+func (judge *Judge) recordExit(vm string, err error) {
 	judge.mutex.Lock()
 	defer judge.mutex.Unlock()
-	judge.violate("process runs on", "%s ended by itself: %v", vm, err)
+	judge.addViolation("no unexpected exit", "%s exited or did not restart: %v", vm, err)
 }
 
-// harming notes that unplanned faults begin.
-func (judge *Judge) harming() {
+// recordUnplannedFault records that unplanned faults have started.
+func (judge *Judge) recordUnplannedFault() {
 	judge.mutex.Lock()
 	defer judge.mutex.Unlock()
 	judge.unplanned = true
 }
 
-// storeLost notes that no process reaches the store until some time, so that
-// nobody can hear of a leaving target.
-func (judge *Judge) storeLost(until time.Time) {
+// recordStoreOutage records that no process reaches the store until the given time,
+// so that none can learn of a draining target.
+func (judge *Judge) recordStoreOutage(until time.Time) {
 	judge.mutex.Lock()
 	defer judge.mutex.Unlock()
-	judge.blind = until
+	judge.storeOutageUntil = until
 }
 
-// declares notes what the newest configuration says.
-func (judge *Judge) declares(newest declared) {
+// recordPublished records the state of the newest configuration.
+func (judge *Judge) recordPublished(newest configState) {
 	judge.mutex.Lock()
 	defer judge.mutex.Unlock()
 	judge.newest = newest
 }
 
-func (judge *Judge) newestDeclared() declared {
+func (judge *Judge) newestPublished() configState {
 	judge.mutex.Lock()
 	defer judge.mutex.Unlock()
 	return judge.newest
 }
 
-// leaves notes that a target said that it leaves.
-func (judge *Judge) leaves(target string, now time.Time) {
+// recordDraining records that a target was published as draining.
+func (judge *Judge) recordDraining(target string, now time.Time) {
 	judge.mutex.Lock()
 	defer judge.mutex.Unlock()
-	judge.left[target] = now
+	judge.drainingSince[target] = now
 }
 
-// asks notes an attempt before it is sent.
-func (judge *Judge) asks(id string, request *asked) {
+// recordSent records an attempt before it is sent.
+func (judge *Judge) recordSent(id string, attempt *attempt) {
 	judge.mutex.Lock()
 	defer judge.mutex.Unlock()
-	request.planned = !judge.unplanned
-	judge.requests[id] = request
+	attempt.planned = !judge.unplanned
+	judge.attempts[id] = attempt
 }
 
-// ran notes the begin of a run at a target.
-func (judge *Judge) ran(run beryldouble.Run) {
+// recordRun records the start of a run at a target.
+func (judge *Judge) recordRun(run beryldouble.Run) {
 	judge.mutex.Lock()
 	defer judge.mutex.Unlock()
-	request := judge.requests[run.Request]
-	if request == nil {
-		judge.violate("only what was asked runs", "%s ran %q", run.Target, run.Request)
+	attempt := judge.attempts[run.Request]
+	if attempt == nil {
+		judge.addViolation("only sent requests run", "%s ran %q", run.Target, run.Request)
 		return
 	}
-	request.runs = append(request.runs, run)
-	if run.Organisation != request.organisation || run.Path != request.path {
-		judge.violate("runs as asked", "%s ran as %s at %s, asked by %s at %s", run.Request, run.Organisation, run.Path, request.organisation, request.path)
+	attempt.runs = append(attempt.runs, run)
+	if run.Organisation != attempt.organisation || run.Path != attempt.path {
+		judge.addViolation("runs as sent", "%s ran for %s at path %s, sent by %s to path %s", run.Request, run.Organisation, run.Path, attempt.organisation, attempt.path)
 	}
-	if len(request.runs) > 1 && !request.repeatable() {
-		judge.violate("at most once", "%s ran at %s and %s", run.Request, request.runs[0].Target, run.Target)
+	if len(attempt.runs) > 1 && !attempt.repeatable() {
+		judge.addViolation("runs at most once", "%s ran at %s and %s", run.Request, attempt.runs[0].Target, run.Target)
 	}
-	if request.answered && request.answer.Promised() && !request.repeatable() {
-		judge.violate("not run is true", "%s was answered %d and runs at %s", run.Request, request.answer.Status, run.Target)
+	if attempt.answered && attempt.answer.Promised() && !attempt.repeatable() {
+		judge.addViolation("no run after notRun", "%s was answered %d and then ran at %s", run.Request, attempt.answer.Status, run.Target)
 	}
-	if at, leaves := judge.left[run.Target]; leaves && run.At.Sub(at) > leaveWithin && judge.blind.Before(at) {
-		judge.violate("a leaving target gets nothing new", "%s runs at %s, which left %s ago", run.Request, run.Target, run.At.Sub(at))
+	if at, draining := judge.drainingSince[run.Target]; draining && run.At.Sub(at) > drainGracePeriod && judge.storeOutageUntil.Before(at) {
+		judge.addViolation("no new request at a draining target", "%s ran at %s, which has been draining for %s", run.Request, run.Target, run.At.Sub(at))
 	}
 }
 
-// got notes the end of an attempt at its caller.
-func (judge *Judge) got(answer beryldouble.Answer) {
+// recordAnswer records the end of an attempt at its caller.
+func (judge *Judge) recordAnswer(answer beryldouble.Answer) {
 	judge.mutex.Lock()
 	defer judge.mutex.Unlock()
-	request := judge.requests[answer.Ask.ID]
-	request.answered, request.answer = true, answer
-	judge.counts[outcomeOf(answer)]++
+	attempt := judge.attempts[answer.Ask.ID]
+	attempt.answered, attempt.answer = true, answer
+	judge.answerCounts[outcomeLabel(answer)]++
 	if answer.Served() {
 		judge.served++
 	}
 	if fault := answer.Fault(); fault != nil {
-		judge.violate("whole answer to its own request", "%v", fault)
+		judge.addViolation("complete answer to the right request", "%v", fault)
 	}
-	if answer.Promised() && len(request.runs) > 0 && !request.repeatable() {
-		judge.violate("not run is true", "%s ran at %s and was answered %d", answer.Ask.ID, request.runs[0].Target, answer.Status)
+	if answer.Promised() && len(attempt.runs) > 0 && !attempt.repeatable() {
+		judge.addViolation("no run before notRun", "%s ran at %s and was then answered %d", answer.Ask.ID, attempt.runs[0].Target, answer.Status)
 	}
-	// A caller whose own time is up has cut the request itself. On a machine that is
-	// short of processor time that comes to pass with nothing wrong in the fleet.
+	// A caller whose own deadline has passed cut the request itself. On a CPU-starved
+	// machine this happens without a fault of the fleet.
 	cut := answer.Err != nil && !errors.Is(answer.Err, context.DeadlineExceeded)
-	if cut && request.planned && !judge.unplanned && len(request.runs) > 0 {
-		judge.violate("planned work cuts nothing", "%s ran at %s and ended with %v", answer.Ask.ID, request.runs[0].Target, answer.Err)
+	if cut && attempt.planned && !judge.unplanned && len(attempt.runs) > 0 {
+		judge.addViolation("planned operations cut no request", "%s ran at %s and failed: %v", answer.Ask.ID, attempt.runs[0].Target, answer.Err)
 	}
-	judge.compare(request, answer)
+	judge.checkConfiguration(attempt, answer)
 }
 
-// outcomeOf names an answer for the summary.
-func outcomeOf(answer beryldouble.Answer) string {
+// outcomeLabel returns the label of an answer in the summary.
+func outcomeLabel(answer beryldouble.Answer) string {
 	switch {
 	case answer.Status == 0:
 		return "no answer"
@@ -197,75 +196,75 @@
 	}
 }
 
-// compare holds an answer against what the same run of a process showed before
-// the request was sent: the configuration that it serves never goes back.
-func (judge *Judge) compare(request *asked, answer beryldouble.Answer) {
-	before := judge.seen[request.boot]
-	added, revocable := strings.HasPrefix(request.path, pathAdded), revokedIndex(request.path)
-	if added && answer.Status == http.StatusNotFound && before.added.shownBefore(request.sent) {
-		judge.violate("configuration never goes back", "%s: the added route is unknown again", request.boot)
+// checkConfiguration compares an answer with what the same run of a process showed
+// before the request was sent: a process never returns to an older configuration.
+func (judge *Judge) checkConfiguration(attempt *attempt, answer beryldouble.Answer) {
+	observed := judge.observed[attempt.processRun]
+	addedRoute, revocable := strings.HasPrefix(attempt.path, pathAdded), revokedIndex(attempt.path)
+	if addedRoute && answer.Status == http.StatusNotFound && observed.addedRoute.before(attempt.sent) {
+		judge.addViolation("configuration never reverts", "%s no longer knows the added route", attempt.processRun)
 	}
-	if answer.Served() && before.revoked[revocable].shownBefore(request.sent) {
-		judge.violate("configuration never goes back", "%s: a key that was taken away is served again", request.boot)
+	if answer.Served() && observed.revokedKeys[revocable].before(attempt.sent) {
+		judge.addViolation("configuration never reverts", "%s accepts a revoked key again", attempt.processRun)
 	}
 	switch {
-	case added && answer.Served():
-		before.added = before.added.or(answer.Ended)
+	case addedRoute && answer.Served():
+		observed.addedRoute = observed.addedRoute.or(answer.Ended)
 	case answer.Status == http.StatusUnauthorized:
-		before.revoked[revocable] = before.revoked[revocable].or(answer.Ended)
+		observed.revokedKeys[revocable] = observed.revokedKeys[revocable].or(answer.Ended)
 	}
-	judge.seen[request.boot] = before
+	judge.observed[attempt.processRun] = observed
 }
 
-// moment is when something was shown first, zero if it was not.
-type moment struct{ at time.Time }
+// observation is the time of a first observation, zero if there was none.
+type observation struct{ at time.Time }
 
-func (first moment) shownBefore(at time.Time) bool { return !first.at.IsZero() && at.After(first.at) }
+func (first observation) before(at time.Time) bool { return !first.at.IsZero() && at.After(first.at) }
 
-func (first moment) or(at time.Time) moment {
+func (first observation) or(at time.Time) observation {
 	if first.at.IsZero() {
-		return moment{at}
+		return observation{at}
 	}
 	return first
 }
 
-// shown is what one run of a process showed of the configuration in force.
-type shown struct {
-	added   moment
-	revoked [organised + 1]moment
+// observedConfig is what one run of a process has shown of its configuration.
+type observedConfig struct {
+	addedRoute  observation
+	revokedKeys [organisationCount + 1]observation
 }
 
-// revokedSuffix marks the paths of requests that carry a key which may be taken
-// away; the number of its organisation follows.
-const revokedSuffix = "revocable-"
+// revocableMarker marks the paths of requests that carry a revocable key; the number
+// of the organisation follows it.
+const revocableMarker = "revocable-"
 
-// revokedIndex returns the organisation whose second key a request carries, or
-// one that never loses it.
+// revokedIndex returns the number of the organisation whose second key a request
+// carries, or organisationCount if it carries no revocable key.
 func revokedIndex(path string) int {
-	_, after, found := strings.Cut(path, revokedSuffix)
-	index := organised
+	_, after, found := strings.Cut(path, revocableMarker)
+	index := organisationCount
 	if found {
 		_, _ = fmt.Sscan(after, &index)
 	}
 	return index
 }
 
-// Result is what a soak showed.
+// Result is the result of a soak.
 type Result struct {
-	Violations []Violation
-	Requests   int
-	Served     int
-	Counts     map[string]int
+	Violations   []Violation
+	Requests     int
+	Served       int
+	AnswerCounts map[string]int
 }
 
 func (judge *Judge) result() Result {
 	judge.mutex.Lock()
 	defer judge.mutex.Unlock()
-	return Result{judge.violations, len(judge.requests), judge.served, judge.counts}
+	return Result{judge.violations, len(judge.attempts), judge.served, judge.answerCounts}
 }
 
-// servedNow returns how many requests were served so far.
-func (judge *Judge) servedNow() int {
+// servedCount returns the number of requests served so far.
+func (judge *Judge) servedCount() int {
 	judge.mutex.Lock()
 	defer judge.mutex.Unlock()
 	return judge.served
--- a/soak/judge_test.go
+++ b/soak/judge_test.go
@@ -12,71 +12,71 @@
 	"berylspoke/platform/beryldouble"
 )
 
-// told is one thing that a judge is told.
-type told func(judge *Judge, now time.Time)
+// event records one event with a judge.
+type event func(judge *Judge, now time.Time)
 
-func askOf(id, path string) told {
+func sentEvent(id, path string) event {
 	return func(judge *Judge, now time.Time) {
-		judge.asks(id, &asked{path: path, organisation: "o", boot: "vm-1 run 1", sent: now})
+		judge.recordSent(id, &attempt{path: path, organisation: "o", processRun: "vm-1 run 1", sent: now})
 	}
 }
 
-func runOf(id, path, target string) told {
+func runEvent(id, path, target string) event {
 	return func(judge *Judge, now time.Time) {
-		judge.ran(beryldouble.Run{Request: id, Organisation: "o", Path: path, Target: target, At: now})
+		judge.recordRun(beryldouble.Run{Request: id, Organisation: "o", Path: path, Target: target, At: now})
 	}
 }
 
-func answerOf(id string, status int, sealed bool, body string, err error) told {
+func answerEvent(id string, status int, sealed bool, body string, err error) event {
 	return func(judge *Judge, now time.Time) {
-		judge.got(beryldouble.Answer{
+		judge.recordAnswer(beryldouble.Answer{
 			Ask: beryldouble.Ask{ID: id}, Status: status, Sealed: sealed, Body: []byte(body), Err: err, Ended: now,
 		})
 	}
 }
 
-// A soak that finds nothing shows something only if its judge would have found it:
-// each broken promise must be noticed, and what is allowed must not.
-func TestJudgeNoticesBrokenPromises(t *testing.T) {
+// Guards against a judge that misses violations, which would let every soak pass, or
+// that reports allowed behaviour.
+func TestJudgeDetectsViolations(t *testing.T) {
 	cut := errors.New("cut")
-	leaves := func(judge *Judge, now time.Time) { judge.leaves("t-1", now.Add(-leaveWithin-time.Second)) }
-	harming := func(judge *Judge, _ time.Time) { judge.harming() }
+	drain := func(judge *Judge, now time.Time) { judge.recordDraining("t-1", now.Add(-drainGracePeriod-time.Second)) }
+	fault := func(judge *Judge, _ time.Time) { judge.recordUnplannedFault() }
 	cases := map[string]struct {
-		told   []told
-		broken string
+		events   []event
+		violated string
 	}{
-		"served":                {[]told{askOf("1", pathBook), runOf("1", pathBook, "t-1"), answerOf("1", 200, true, "answer to 1", nil)}, ""},
-		"runs twice":            {[]told{askOf("1", pathBook), runOf("1", pathBook, "t-1"), runOf("1", pathBook, "t-2")}, "at most once"},
-		"may run twice":         {[]told{askOf("1", pathLook), runOf("1", pathLook, "t-1"), runOf("1", pathLook, "t-2")}, ""},
-		"refused and ran":       {[]told{askOf("1", pathBook), runOf("1", pathBook, "t-1"), answerOf("1", 503, false, "", nil)}, "not run is true"},
-		"refused, then ran":     {[]told{askOf("1", pathDraft), answerOf("1", 503, false, "", nil), runOf("1", pathDraft, "t-1")}, "not run is true"},
-		"not sealed":            {[]told{askOf("1", pathBook), answerOf("1", 200, false, "answer to 1", nil)}, "whole answer to its own request"},
-		"another's answer":      {[]told{askOf("1", pathBook), answerOf("1", 200, true, "answer to 2", nil)}, "whole answer to its own request"},
-		"other path":            {[]told{askOf("1", pathBook), runOf("1", pathLook, "t-1")}, "runs as asked"},
-		"nobody asked":          {[]told{runOf("1", pathBook, "t-1")}, "only what was asked runs"},
-		"leaving target":        {[]told{leaves, askOf("1", pathBook), runOf("1", pathBook, "t-1")}, "a leaving target gets nothing new"},
-		"cut by planned work":   {[]told{askOf("1", pathBook), runOf("1", pathBook, "t-1"), answerOf("1", 0, false, "", cut)}, "planned work cuts nothing"},
-		"own time is up":        {[]told{askOf("1", pathBook), runOf("1", pathBook, "t-1"), answerOf("1", 0, false, "", context.DeadlineExceeded)}, ""},
-		"cut by a fault":        {[]told{harming, askOf("1", pathBook), runOf("1", pathBook, "t-1"), answerOf("1", 0, false, "", cut)}, ""},
-		"added route goes away": {[]told{askOf("1", pathAdded), answerOf("1", 200, true, "answer to 1", nil), askOf("2", pathAdded), answerOf("2", http.StatusNotFound, false, "", nil)}, "configuration never goes back"},
-		"key comes back": {[]told{
-			askOf("1", pathLook+revokedSuffix+"2/"), answerOf("1", http.StatusUnauthorized, false, "", nil),
-			askOf("2", pathLook+revokedSuffix+"2/"), answerOf("2", 200, true, "answer to 2", nil),
-		}, "configuration never goes back"},
+		"served":                   {[]event{sentEvent("1", pathBook), runEvent("1", pathBook, "t-1"), answerEvent("1", 200, true, "answer to 1", nil)}, ""},
+		"runs twice":               {[]event{sentEvent("1", pathBook), runEvent("1", pathBook, "t-1"), runEvent("1", pathBook, "t-2")}, "runs at most once"},
+		"may run twice":            {[]event{sentEvent("1", pathLook), runEvent("1", pathLook, "t-1"), runEvent("1", pathLook, "t-2")}, ""},
+		"refused and ran":          {[]event{sentEvent("1", pathBook), runEvent("1", pathBook, "t-1"), answerEvent("1", 503, false, "", nil)}, "no run before notRun"},
+		"refused, then ran":        {[]event{sentEvent("1", pathDraft), answerEvent("1", 503, false, "", nil), runEvent("1", pathDraft, "t-1")}, "no run after notRun"},
+		"not sealed":               {[]event{sentEvent("1", pathBook), answerEvent("1", 200, false, "answer to 1", nil)}, "complete answer to the right request"},
+		"another's answer":         {[]event{sentEvent("1", pathBook), answerEvent("1", 200, true, "answer to 2", nil)}, "complete answer to the right request"},
+		"other path":               {[]event{sentEvent("1", pathBook), runEvent("1", pathLook, "t-1")}, "runs as sent"},
+		"never sent":               {[]event{runEvent("1", pathBook, "t-1")}, "only sent requests run"},
+		"draining target":          {[]event{drain, sentEvent("1", pathBook), runEvent("1", pathBook, "t-1")}, "no new request at a draining target"},
+		"cut by planned operation": {[]event{sentEvent("1", pathBook), runEvent("1", pathBook, "t-1"), answerEvent("1", 0, false, "", cut)}, "planned operations cut no request"},
+		"own deadline exceeded":    {[]event{sentEvent("1", pathBook), runEvent("1", pathBook, "t-1"), answerEvent("1", 0, false, "", context.DeadlineExceeded)}, ""},
+		"cut by a fault":           {[]event{fault, sentEvent("1", pathBook), runEvent("1", pathBook, "t-1"), answerEvent("1", 0, false, "", cut)}, ""},
+		"added route disappears":   {[]event{sentEvent("1", pathAdded), answerEvent("1", 200, true, "answer to 1", nil), sentEvent("2", pathAdded), answerEvent("2", http.StatusNotFound, false, "", nil)}, "configuration never reverts"},
+		"revoked key served again": {[]event{
+			sentEvent("1", pathLook+revocableMarker+"2/"), answerEvent("1", http.StatusUnauthorized, false, "", nil),
+			sentEvent("2", pathLook+revocableMarker+"2/"), answerEvent("2", 200, true, "answer to 2", nil),
+		}, "configuration never reverts"},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			judge, now := newJudge(), time.Now()
-			for _, tell := range test.told {
+			for _, record := range test.events {
 				now = now.Add(time.Millisecond)
-				tell(judge, now)
+				record(judge, now)
 			}
-			if test.broken == "" {
+			if test.violated == "" {
 				require.Empty(t, judge.result().Violations)
 				return
 			}
 			require.Len(t, judge.result().Violations, 1)
-			require.Equal(t, test.broken, judge.result().Violations[0].Promise)
+			require.Equal(t, test.violated, judge.result().Violations[0].Guarantee)
 		})
 	}
 }
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -1,6 +1,6 @@
 package berylsoak
 
-// This file defines one soak.
+// This file defines one run of the soak.
 
 import (
 	"context"
@@ -18,71 +18,73 @@
 )
 
 const (
-	// recoverWithin bounds the wait for service after the last fault. Twelve
-	// seconds are promised; the rest is for busy machines.
-	recoverWithin = 60 * time.Second
-	// recoverShare is the part of the rate that must be served then.
-	recoverShare = 0.5
-	// recoverLook is the time over which that is measured.
-	recoverLook = 2 * time.Second
+	// recoveryTimeout bounds the wait for service after the last fault. The
+	// guarantee is twelve seconds; the rest allows for busy machines.
+	recoveryTimeout = 60 * time.Second
+	// recoveryFraction is the fraction of the request rate that must be served then.
+	recoveryFraction = 0.5
+	// recoveryWindow is the window in which the served requests are counted.
+	recoveryWindow = 2 * time.Second
 )
 
-// Run plays the plan of a seed on a world, and says on out what it does.
+// Run executes the plan of a seed on a world and writes its steps to out.
 func Run(world *World, seed uint64, out io.Writer) Result {
 	random := rand.New(rand.NewPCG(seed, 0))
 	plan := newPlan(random, world.size)
 	ctx, cancel := context.WithCancel(context.Background())
-	load := &load{world: world, random: rand.New(rand.NewPCG(seed, 1))}
+	generator := &generator{world: world, random: rand.New(rand.NewPCG(seed, 1))}
 	var sending sync.WaitGroup
-	sending.Go(func() { load.run(ctx, seed) })
-	world.play(plan, out)
-	recovered := world.recovers()
+	sending.Go(func() { generator.run(ctx, seed) })
+	world.runPlan(plan, out)
+	recovered := world.awaitRecovery()
 	cancel()
 	sending.Wait()
 	result := world.judge.result()
 	if recovered != nil {
-		result.Violations = append(result.Violations, Violation{time.Since(world.judge.began), "service returns", recovered.Error()})
+		result.Violations = append(result.Violations, Violation{time.Since(world.judge.started), "service recovers", recovered.Error()})
 	}
 	return result
 }
 
-// play does the faults of a plan at their times and heals all that lasts.
-func (world *World) play(plan []step, out io.Writer) {
-	began := time.Now()
-	var under sync.WaitGroup
+// runPlan injects the faults of a plan at their times and ends the impairments of the
+// store afterwards.
+func (world *World) runPlan(plan []step, out io.Writer) {
+	started := time.Now()
+	var running sync.WaitGroup
 	for _, step := range plan {
-		time.Sleep(time.Until(began.Add(step.at)))
+		time.Sleep(time.Until(started.Add(step.at)))
 		if !step.fault.planned {
-			world.judge.harming()
+			world.judge.recordUnplannedFault()
 		}
 		_, _ = fmt.Fprintln(out, step)
-		under.Go(func() { step.fault.do(world, step) })
+		running.Go(func() { step.fault.do(world, step) })
 	}
-	under.Wait()
+	running.Wait()
 	for _, process := range world.processes {
 		process.store.SetHarm(berylstand.Harm{})
 	}
 }
 
-// recovers waits until callers are served again.
-func (world *World) recovers() error {
-	deadline := time.Now().Add(recoverWithin)
-	want := int(recoverShare * world.size.Rate * recoverLook.Seconds())
+// awaitRecovery waits until callers are served at the required rate again and every
+// process serves the newest configuration.
+func (world *World) awaitRecovery() error {
+	deadline := time.Now().Add(recoveryTimeout)
+	want := int(recoveryFraction * world.size.RequestsPerSecond * recoveryWindow.Seconds())
 	for time.Now().Before(deadline) {
-		before := world.judge.servedNow()
-		time.Sleep(recoverLook)
-		if world.judge.servedNow()-before >= want {
-			return world.inForce(deadline)
+		before := world.judge.servedCount()
+		time.Sleep(recoveryWindow)
+		if world.judge.servedCount()-before >= want {
+			return world.awaitConfiguration(deadline)
 		}
 	}
-	return errors.Errorf("fewer than %d requests are served in %s", want, recoverLook)
+	return errors.Errorf("fewer than %d requests served in %s", want, recoveryWindow)
 }
 
-// inForce waits until every process serves the newest configuration.
-func (world *World) inForce(deadline time.Time) error {
-	newest := world.judge.newestDeclared()
+// awaitConfiguration waits until every process serves the newest configuration.
+func (world *World) awaitConfiguration(deadline time.Time) error {
+	newest := world.judge.newestPublished()
 	for _, process := range world.processes {
-		for !world.serves(process, newest) {
+		for !world.servesConfiguration(process, newest) {
 			if time.Now().After(deadline) {
 				return errors.Errorf("%s does not serve the newest configuration", process.vm.Name)
 			}
@@ -92,27 +94,28 @@
 	return nil
 }
 
-// serves asks a process for what the newest configuration adds and takes away.
-func (world *World) serves(process *process, newest declared) bool {
+// servesConfiguration reports whether a process serves the added route and rejects the last
+// revoked key of the newest configuration.
+func (world *World) servesConfiguration(process *process, newest configState) bool {
 	caller := beryldouble.NewCaller(1, process.vm.FailureDomain, process.vm.Region, nil, nil)
 	defer caller.Close()
-	ask := beryldouble.Ask{Host: "h.example", Method: http.MethodGet, TimeLeft: 3 * time.Second, Path: pathAdded, Key: keyOf(0, 0)}
-	if newest.added && world.probe(caller, process, ask).Status != http.StatusOK {
+	request := beryldouble.Ask{Host: "h.example", Method: http.MethodGet, TimeLeft: 3 * time.Second, Path: pathAdded, Key: callerKey(0, 0)}
+	if newest.addedRoute && world.probe(caller, process, request).Status != http.StatusOK {
 		return false
 	}
-	if newest.revoked == 0 {
+	if newest.revokedKeys == 0 {
 		return true
 	}
-	ask.Path, ask.Key = fmt.Sprintf("%s%s%d/", pathLook, revokedSuffix, newest.revoked-1), keyOf(newest.revoked-1, 1)
-	return world.probe(caller, process, ask).Status == http.StatusUnauthorized
+	request.Path, request.Key = fmt.Sprintf("%s%s%d/", pathLook, revocableMarker, newest.revokedKeys-1), callerKey(newest.revokedKeys-1, 1)
+	return world.probe(caller, process, request).Status == http.StatusUnauthorized
 }
 
-// probe sends a request of the first organisation straight to one process.
-func (world *World) probe(caller *beryldouble.Caller, process *process, ask beryldouble.Ask) beryldouble.Answer {
-	ask.ID = fmt.Sprintf("probe-%d", time.Now().UnixNano())
-	organisation := organisationName(max(revokedIndex(ask.Path)%organised, 0))
-	world.judge.asks(ask.ID, &asked{path: ask.Path, organisation: organisation, boot: world.boot(process.vm.Callers()), sent: time.Now()})
-	answer := caller.Send(context.Background(), process.vm.Callers(), ask)
-	world.judge.got(answer)
+// probe sends a request directly to one process, without a relay.
+func (world *World) probe(caller *beryldouble.Caller, process *process, request beryldouble.Ask) beryldouble.Answer {
+	request.ID = fmt.Sprintf("probe-%d", time.Now().UnixNano())
+	organisation := organisationName(max(revokedIndex(request.Path)%organisationCount, 0))
+	world.judge.recordSent(request.ID, &attempt{path: request.Path, organisation: organisation, processRun: world.currentRun(process.vm.Callers()), sent: time.Now()})
+	answer := caller.Send(context.Background(), process.vm.Callers(), request)
+	world.judge.recordAnswer(answer)
 	return answer
 }
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -14,12 +14,12 @@
 )
 
 var (
-	seeds    = flag.Int("seeds", 0, "number of fresh seeds to soak, beside the short runs")
-	from     = flag.Uint64("from", 0, "first fresh seed; by the clock if zero")
-	vms      = flag.Int("vms", 9, "processes of a fresh seed")
-	seconds  = flag.Int("seconds", 25, "seconds of faults of a fresh seed")
-	rate     = flag.Float64("rate", 40, "requests a second of a fresh seed")
-	memoryMB = flag.Int("memoryMB", 134, "memory that each process is told it has")
+	seeds    = flag.Int("seeds", 0, "number of fresh seeds to run in TestFreshSoak")
+	from     = flag.Uint64("from", 0, "first fresh seed; derived from the clock if zero")
+	vms      = flag.Int("vms", 9, "number of processes with a fresh seed")
+	seconds  = flag.Int("seconds", 25, "seconds of faults with a fresh seed")
+	rate     = flag.Float64("rate", 40, "requests per second with a fresh seed")
+	memoryMB = flag.Int("memoryMB", 134, "memory limit in the settings of each process")
 )
 
 var program string
@@ -41,7 +41,7 @@
 	os.Exit(code)
 }
 
-// soak plays one seed and fails the test for each broken promise.
+// soak runs one seed and fails the test for each violated guarantee.
 func soak(t *testing.T, seed uint64, size Size) {
 	t.Helper()
 	folder, err := os.MkdirTemp("", "soak")
@@ -53,7 +53,7 @@
 	require.NoError(t, err)
 	var steps strings.Builder
 	result := Run(world, seed, &steps)
-	t.Logf("seed %d: %d requests, %d served, %v", seed, result.Requests, result.Served, result.Counts)
+	t.Logf("seed %d: %d requests, %d served, %v", seed, result.Requests, result.Served, result.AnswerCounts)
 	for _, violation := range result.Violations {
 		t.Errorf("seed %d: %s", seed, violation)
 	}
@@ -64,35 +64,35 @@
 	_ = os.RemoveAll(folder)
 }
 
-// short is the size of the runs that all checks include.
-var short = Size{VMs: 6, Engines: 6, Desks: 3, MemoryMB: 134, Rate: 25, Seconds: 12}
+// shortSize is the size of the soak that every test run includes.
+var shortSize = Size{VMs: 6, Engines: 6, Desks: 3, MemoryMB: 134, RequestsPerSecond: 25, Seconds: 12}
 
-// Processes are stopped, paused and killed, connections are delayed, reset, cut
-// one way and silenced, targets come, hang, crash and leave, and configurations
-// follow each other, in series that overlap. Callers and targets must see no
-// promise broken, and the fleet must serve again afterwards.
+// Processes are stopped, suspended and killed, connections are delayed, reset,
+// cut in one direction and black-holed, targets join, hang, crash and drain, and
+// configurations change, with faults that repeat and overlap. Guards against violated
+// guarantees at callers and targets and against a fleet that does not recover.
 func TestShortSoak(t *testing.T) {
-	soak(t, 1, short)
+	soak(t, 1, shortSize)
 }
 
-// Seeds that failed once are played again, each with the cause of its failure.
-func TestKeptSeeds(t *testing.T) {
-	kept := []struct {
+// Seeds that once failed run again, each with the cause of its failure.
+func TestRegressionSeeds(t *testing.T) {
+	regressions := []struct {
 		seed  uint64
 		size  Size
 		cause string
 	}{
-		{2210, Size{VMs: 9, Engines: 9, Desks: 3, MemoryMB: 134, Rate: 40, Seconds: 25},
-			"two drafts reached their callers' own time limit while no process ran for seconds; the judge took it for a cut"},
+		{2210, Size{VMs: 9, Engines: 9, Desks: 3, MemoryMB: 134, RequestsPerSecond: 40, Seconds: 25},
+			"two drafts reached their callers' own deadline while no process ran for seconds; the judge mistook this for a cut"},
 	}
-	for _, one := range kept {
-		t.Run(strconv.FormatUint(one.seed, 10), func(t *testing.T) { soak(t, one.seed, one.size) })
+	for _, regression := range regressions {
+		t.Run(strconv.FormatUint(regression.seed, 10), func(t *testing.T) { soak(t, regression.seed, regression.size) })
 	}
 }
 
-// TestFreshSoak plays seeds that nobody played before; see -seeds.
+// TestFreshSoak runs fresh seeds; see -seeds.
 func TestFreshSoak(t *testing.T) {
-	size := Size{VMs: *vms, Engines: *vms, Desks: 3, MemoryMB: *memoryMB, Rate: *rate, Seconds: *seconds}
+	size := Size{VMs: *vms, Engines: *vms, Desks: 3, MemoryMB: *memoryMB, RequestsPerSecond: *rate, Seconds: *seconds}
 	first := *from
 	if first == 0 {
 		first = uint64(time.Now().UnixNano() / 1e6 % 1e9)
--- a/soak/world.go
+++ b/soak/world.go
@@ -18,23 +18,23 @@
 )
 
 const (
-	// portBase is the first port of each process; all have an address of their own.
-	portBase = 8700
-	// startPatience bounds the wait for a process to be ready, far above what it
-	// takes, so that a busy machine changes no verdict.
-	startPatience = 60 * time.Second
-	// stopSeconds is the time that a process has to stop.
+	// basePort is the first port of each process; each process has its own address.
+	basePort = 8700
+	// startTimeout bounds the wait for a process to be ready. It is far above the
+	// usual time, so that a busy machine causes no failure.
+	startTimeout = 60 * time.Second
+	// stopSeconds is the time that a process has to stop, as its settings say.
 	stopSeconds = 8
 )
 
-// Size says how large a world is.
+// Size is the size of a world.
 type Size struct {
 	VMs, Engines, Desks int
-	// MemoryMB bounds each process's memory; it is what its settings say.
+	// MemoryMB is the memory limit in the settings of each process.
 	MemoryMB int
-	// Rate is the requests a second of all callers.
-	Rate float64
-	// Seconds is how long faults come.
+	// RequestsPerSecond is the request rate of all callers together.
+	RequestsPerSecond float64
+	// Seconds is how long faults are injected.
 	Seconds int
 }
 
@@ -49,26 +49,26 @@
 	callers *berylstand.StreamRelay
 	mutex   sync.Mutex
 	command *exec.Cmd
-	// gone is closed when the present run has ended; ending is set from when it
-	// is asked to end until the next run.
-	gone   chan struct{}
-	ending bool
-	// boots counts the runs.
-	boots int
+	// exited is closed when the current run has exited. stopping is set from the
+	// decision to stop it until the start of the next run.
+	exited   chan struct{}
+	stopping bool
+	// runCount is the number of runs started.
+	runCount int
 }
 
-// World is a running fleet and what surrounds it.
+// World is a running fleet with its store, targets and relays.
 type World struct {
-	size      Size
-	program   string
-	folder    string
-	store     *beryldouble.Store
-	judge     *Judge
-	processes []*process
-	mutex     sync.Mutex
-	targets   map[string]*target
-	version   int
-	born      int
+	size           Size
+	program        string
+	folder         string
+	store          *beryldouble.Store
+	judge          *Judge
+	processes      []*process
+	mutex          sync.Mutex
+	targets        map[string]*target
+	version        int
+	targetsStarted int
 }
 
 // target is a target and the relay in front of it.
@@ -78,7 +78,7 @@
 	relay   *berylstand.StreamRelay
 }
 
-// NewWorld starts a world in a folder, with the program built beforehand.
+// NewWorld starts a world that runs the given program and keeps its files in folder.
 func NewWorld(program, folder string, size Size) (*World, error) {
 	store, err := beryldouble.NewStore()
 	if err != nil {
@@ -88,13 +88,13 @@
 		size: size, program: program, folder: folder, store: store, judge: newJudge(),
 		targets: make(map[string]*target),
 	}
-	if err := world.publish(declared{}); err != nil {
+	if err := world.publish(configState{}); err != nil {
 		return nil, err
 	}
 	for i := range size.Engines + size.Desks {
-		service := engines
+		service := engineService
 		if i >= size.Engines {
-			service = desks
+			service = deskService
 		}
 		if _, err := world.addTarget(service); err != nil {
 			return nil, err
@@ -113,24 +113,24 @@
 	return world, world.awaitReady(world.processes)
 }
 
-// network is the second byte of the loopback addresses, drawn so that two worlds
-// on one machine do not meet.
-func network() int { return 64 + os.Getpid()%128 }
+// networkOctet returns the second byte of the loopback addresses. It is derived from
+// the process id so that concurrent soaks on one machine rarely share addresses.
+func networkOctet() int { return 64 + os.Getpid()%128 }
 
 func (world *World) addProcess(i int) error {
 	regions := make(map[string]string)
 	for _, domain := range domains {
 		regions[domain.name] = domain.region
 	}
-	host := func(i int) string { return fmt.Sprintf("127.%d.%d.%d", network(), 1+i/200, 1+i%200) }
-	here := domains[i%len(domains)]
+	host := func(i int) string { return fmt.Sprintf("127.%d.%d.%d", networkOctet(), 1+i/200, 1+i%200) }
+	ownDomain := domains[i%len(domains)]
 	store, err := berylstand.NewStreamRelay("127.0.0.1:0", world.store.Address())
 	if err != nil {
 		return err
 	}
 	vm := beryldouble.VM{
-		Name: fmt.Sprintf("vm-%d", i+1), Host: host(i), FailureDomain: here.name, Region: here.region,
-		RegionOf: regions, StoreAddress: store.Address(), Base: portBase, Cores: 0.4,
+		Name: fmt.Sprintf("vm-%d", i+1), Host: host(i), FailureDomain: ownDomain.name, Region: ownDomain.region,
+		RegionOf: regions, StoreAddress: store.Address(), Base: basePort, Cores: 0.4,
 		MemoryMB: world.size.MemoryMB, StopSeconds: stopSeconds,
 	}
 	for seed := range min(len(domains), world.size.VMs) {
@@ -149,7 +149,7 @@
 	return os.WriteFile(process.path, settings, 0o600)
 }
 
-// start starts a process; its log goes to a file of its name.
+// start starts a process, whose log is appended to a file of its own.
 func (world *World) start(process *process) error {
 	process.mutex.Lock()
 	defer process.mutex.Unlock()
@@ -163,68 +163,68 @@
 	if err := command.Start(); err != nil {
 		return err
 	}
-	gone := make(chan struct{})
-	process.command, process.gone, process.ending = command, gone, false
-	process.boots++
+	exited := make(chan struct{})
+	process.command, process.exited, process.stopping = command, exited, false
+	process.runCount++
 	go func() {
 		err := command.Wait()
 		process.mutex.Lock()
-		asked := process.ending
+		requested := process.stopping
 		process.mutex.Unlock()
-		if !asked {
-			world.judge.exited(process.vm.Name, err)
+		if !requested {
+			world.judge.recordExit(process.vm.Name, err)
 		}
-		close(gone)
+		close(exited)
 	}()
 	return nil
 }
 
-// signal sends a signal to the present run of a process.
+// signal sends a signal to the current run of a process, unless it has exited.
 func (process *process) signal(signal syscall.Signal) {
 	process.mutex.Lock()
 	defer process.mutex.Unlock()
 	select {
-	case <-process.gone:
+	case <-process.exited:
 	default:
 		_ = process.command.Process.Signal(signal)
 	}
 }
 
-// claim reserves the right to end the present run; it returns false if somebody
-// else ends it already.
-func (process *process) claim() bool {
+// claimStop reserves the right to stop the current run. It returns false if the run
+// is being stopped already.
+func (process *process) claimStop() bool {
 	process.mutex.Lock()
 	defer process.mutex.Unlock()
-	claimed := !process.ending
-	process.ending = true
+	claimed := !process.stopping
+	process.stopping = true
 	return claimed
 }
 
-// end waits until the present run is gone, killing it where it outstays its time.
-func (process *process) end(within time.Duration) {
+// awaitExit waits until the current run has exited and kills it after the timeout.
+func (process *process) awaitExit(timeout time.Duration) {
 	select {
-	case <-process.gone:
-	case <-time.After(within):
+	case <-process.exited:
+	case <-time.After(timeout):
 		process.signal(syscall.SIGKILL)
-		<-process.gone
+		<-process.exited
 	}
 }
 
-// boot names the present run of the process at an address.
-func (world *World) boot(address string) string {
+// currentRun returns the name of the current run of the process at an address.
+func (world *World) currentRun(address string) string {
 	for _, process := range world.processes {
 		if process.vm.Callers() == address {
 			process.mutex.Lock()
 			defer process.mutex.Unlock()
-			return fmt.Sprintf("%s run %d", process.vm.Name, process.boots)
+			return fmt.Sprintf("%s run %d", process.vm.Name, process.runCount)
 		}
 	}
 	return address
 }
 
-// awaitReady waits until all of some processes are ready.
+// awaitReady waits until all given processes are ready.
 func (world *World) awaitReady(processes []*process) error {
-	deadline := time.Now().Add(startPatience)
+	deadline := time.Now().Add(startTimeout)
 	for _, process := range processes {
 		for !process.vm.TakesRequests() {
 			if time.Now().After(deadline) {
@@ -236,14 +236,14 @@
 	return nil
 }
 
-// addTarget starts one more target of a service.
+// addTarget starts another target of a service.
 func (world *World) addTarget(service string) (*target, error) {
 	world.mutex.Lock()
 	defer world.mutex.Unlock()
-	world.born++
+	world.targetsStarted++
 	added := &target{service: service}
 	options := beryldouble.TargetOptions{
-		ID: fmt.Sprintf("t-%d", world.born), Service: service, FailureDomain: domains[world.born%len(domains)].name,
+		ID: fmt.Sprintf("t-%d", world.targetsStarted), Service: service, FailureDomain: domains[world.targetsStarted%len(domains)].name,
 		Slots: 8, Work: 20 * time.Millisecond,
 		Advertise: func(address string) string {
 			if added.relay == nil {
@@ -256,10 +256,10 @@
 			return added.relay.Address()
 		},
 	}
-	if service == engines {
+	if service == engineService {
 		options.Slots, options.Events, options.Pause = 16, 12, 30*time.Millisecond
 	}
-	started, err := beryldouble.StartTarget(world.store, options, world.judge.ran)
+	started, err := beryldouble.StartTarget(world.store, options, world.judge.recordRun)
 	if err != nil {
 		return nil, err
 	}
@@ -268,15 +268,15 @@
 	return added, nil
 }
 
-// Close ends all that the world started, by its ids.
+// Close stops all processes and targets that the world started, and its store.
 func (world *World) Close() {
 	for _, process := range world.processes {
-		if process.gone == nil {
+		if process.exited == nil {
 			continue
 		}
-		process.claim()
+		process.claimStop()
 		process.signal(syscall.SIGKILL)
-		process.end(time.Second)
+		process.awaitExit(time.Second)
 		process.store.Close()
 		process.callers.Close()
 	}
@@ -287,8 +287,8 @@
 	world.store.Close()
 }
 
-// through maps the address of a daemon to the relay before it.
-func (world *World) through(address string) string {
+// relayAddress returns the address of the relay in front of a daemon.
+func (world *World) relayAddress(address string) string {
 	for _, process := range world.processes {
 		if process.vm.Callers() == address {
 			return process.callers.Address()
@@ -297,8 +297,8 @@
 	return address
 }
 
-// directories returns the resolve addresses, those of a failure domain first.
-func (world *World) directories(domain string) []string {
+// resolveAddresses returns the resolve addresses, those of the failure domain first.
+func (world *World) resolveAddresses(domain string) []string {
 	var near, far []string
 	for _, process := range world.processes {
 		if process.vm.FailureDomain == domain {
