--- a/cmd/berylspoke/call.go
+++ b/cmd/berylspoke/call.go
@@ -1,6 +1,6 @@
 package main
 
-// This file defines the command that calls the fleet as a caller does.
+// This file defines the command that sends requests to the fleet.
 
 import (
 	"context"
@@ -17,37 +17,38 @@
 	"berylspoke/io/berylcall"
 )
 
-// keyVariable names the environment variable with the organisation's key.
+// keyVariable is the environment variable with the organisation's key.
 const keyVariable = "BERYLSPOKE_KEY"
 
 type callCommand struct {
 	seeds, service, path, settle string
 	read                         bool
-	most                         int64
+	maxTokens                    int64
 }
 
 func (*callCommand) Name() string     { return "call" }
-func (*callCommand) Synopsis() string { return "send a draft, a call or a question as a caller" }
+func (*callCommand) Synopsis() string { return "send a request or settle an earlier one" }
 func (*callCommand) Usage() string {
 	return `call -seeds IP:PORT[,...] -service NAME [PROMPT]
 call -seeds IP:PORT[,...] -service NAME -path /PATH [-read] [BODY]
 call -seeds IP:PORT[,...] -settle ID
 
 Resolves an address and streams the draft for PROMPT, or sends BODY to PATH of a
-plain service at most once, or reads PATH, or asks what became of an ID. PROMPT
-and BODY come from standard input if not given. The organisation's key is taken
-from BERYLSPOKE_KEY. Exits 0 if the request ran, 1 if not.
+plain service at most once, or reads PATH, or settles the call with an ID and
+prints its outcome. PROMPT and BODY are read from standard input if not given. The
+organisation's key is taken from BERYLSPOKE_KEY. Exits 0 if the request ran, 1 if
+not.
 
 `
 }
 
 func (command *callCommand) SetFlags(flags *flag.FlagSet) {
-	flags.StringVar(&command.seeds, "seeds", "", "callers' `addresses` of any daemons")
+	flags.StringVar(&command.seeds, "seeds", "", "comma-separated callers' `addresses` of one or more daemons")
 	flags.StringVar(&command.service, "service", "", "`name` of the service")
-	flags.StringVar(&command.path, "path", "", "`path` at a plain service")
-	flags.StringVar(&command.settle, "settle", "", "`id` of an earlier call")
-	flags.BoolVar(&command.read, "read", false, "read the path")
-	flags.Int64Var(&command.most, "most", 0, "most tokens of a draft, 0 for no bound")
+	flags.StringVar(&command.path, "path", "", "`path` of a plain service")
+	flags.StringVar(&command.settle, "settle", "", "`id` of an earlier call to settle")
+	flags.BoolVar(&command.read, "read", false, "read the path with an idempotent request")
+	flags.Int64Var(&command.maxTokens, "most", 0, "maximum number of tokens of a draft, 0 for no limit")
 }
 
 func (command *callCommand) Execute(ctx context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
@@ -59,13 +60,13 @@
 	var err error
 	switch {
 	case command.settle != "":
-		err = show(client.Settle(ctx, command.settle, seeds[0]))
+		err = printOutcome(client.Settle(ctx, command.settle, seeds[0]))
 	case command.path == "":
-		err = command.draft(ctx, client, content(flags))
+		err = command.draft(ctx, client, inputText(flags))
 	case command.read:
-		err = show(client.Read(ctx, berylspoke.ServiceID(command.service), command.path))
+		err = printOutcome(client.Read(ctx, berylspoke.ServiceID(command.service), command.path))
 	default:
-		err = command.file(ctx, client, content(flags))
+		err = command.file(ctx, client, inputText(flags))
 	}
 	if err != nil {
 		return fail(err)
@@ -73,8 +74,8 @@
 	return subcommands.ExitSuccess
 }
 
-// content returns the argument or standard input.
-func content(flags *flag.FlagSet) string {
+// inputText returns the joined arguments, or standard input if there are none.
+func inputText(flags *flag.FlagSet) string {
 	if flags.NArg() > 0 {
 		return strings.Join(flags.Args(), " ")
 	}
@@ -84,7 +85,7 @@
 
 func (command *callCommand) draft(ctx context.Context, client *berylcall.Client, prompt string) error {
 	_, err := client.Stream(ctx, berylcall.Draft{
-		Service: berylspoke.ServiceID(command.service), Prompt: prompt, MaxTokens: berylspoke.Tokens(command.most),
+		Service: berylspoke.ServiceID(command.service), Prompt: prompt, MaxTokens: berylspoke.Tokens(command.maxTokens),
 	}, func(text string, _ berylspoke.Tokens) { fmt.Print(text) })
 	fmt.Println()
 	return err
@@ -96,10 +97,10 @@
 		return err
 	}
 	fmt.Fprintln(os.Stderr, "id", id)
-	return show(client.File(ctx, berylspoke.ServiceID(command.service), command.path, id, owner, "text/plain", []byte(body)))
+	return printOutcome(client.File(ctx, berylspoke.ServiceID(command.service), command.path, id, owner, "text/plain", []byte(body)))
 }
 
-func show(outcome berylcall.Outcome) error {
+func printOutcome(outcome berylcall.Outcome) error {
 	if outcome.Err != nil {
 		return outcome.Err
 	}
--- a/cmd/berylspoke/callers_test.go
+++ b/cmd/berylspoke/callers_test.go
@@ -1,6 +1,6 @@
 package main
 
-// This file tests the edges of the callers' server with real processes.
+// This file tests edge cases of the callers' server with real processes.
 
 import (
 	"crypto/ecdsa"
@@ -24,15 +24,15 @@
 	"berylspoke/io/berylsettings"
 )
 
-// smallPlan is one failure domain of kitamine.
+// smallPlan returns the plan of one failure domain of kitamine.
 func smallPlan() berylfleet.Plan {
 	plan := berylfleet.Kitamine()
 	plan.Areas = plan.Areas[:1]
 	return plan
 }
 
-// A sender trickles the body of a draft to hold a connection for good. It is
-// refused once its time is over, and nothing runs.
+// Guards against a sender that holds a connection forever by sending the body of a
+// draft slowly: after the read timeout the request is rejected as not run.
 func TestSlowSenderIsRefused(t *testing.T) {
 	fleet := startProcesses(t, smallPlan(), func(settings *berylsettings.Settings) { settings.Callers.ReadMillis = 500 })
 	entry := fleet.Plan.VMs()[0].ID
@@ -42,7 +42,7 @@
 	_, err = fmt.Fprintf(conn, "POST /v1/services/drafting-models/drafts HTTP/1.1\r\nHost: x\r\n"+
 		"Authorization: Bearer %s\r\nContent-Length: 100\r\n\r\n{", fleet.Plan.Key("small-1"))
 	require.NoError(t, err)
-	require.NoError(t, conn.SetReadDeadline(time.Now().Add(patience)))
+	require.NoError(t, conn.SetReadDeadline(time.Now().Add(waitTimeout)))
 	answer := make([]byte, 4096)
 	size, err := conn.Read(answer)
 	require.NoError(t, err)
@@ -72,7 +72,7 @@
 	plain, err := http.Get("http://" + fleet.settings[entry].CallAddress + "/v1/resolve")
 	require.NoError(t, err)
 	defer func() { _ = plain.Body.Close() }()
-	require.Equal(t, http.StatusBadRequest, plain.StatusCode, "plain HTTP is refused")
+	require.Equal(t, http.StatusBadRequest, plain.StatusCode, "plain HTTP is rejected")
 }
 
 func writeCertificate(t *testing.T) (certificate, key string) {
--- a/cmd/berylspoke/check.go
+++ b/cmd/berylspoke/check.go
@@ -23,14 +23,14 @@
 func (*checkCommand) Usage() string {
 	return `check [-settings FILE] [-declarations FILE] [-platform FILE]
 
-Lists every fault with its line or its path. Exits 0 if there is none.
+Lists every fault with its line or its path. Exits 0 if there are none, 1 otherwise.
 
 `
 }
 
 func (command *checkCommand) SetFlags(flags *flag.FlagSet) {
 	flags.StringVar(&command.settings, "settings", "", "settings `file` of a daemon")
-	flags.StringVar(&command.platform, "platform", "", "settings `file` that the users' platform makes")
+	flags.StringVar(&command.platform, "platform", "", "settings `file` made by the users' platform")
 	flags.StringVar(&command.declarations, "declarations", "", "declarations `file`, JSON with comments")
 }
 
@@ -81,7 +81,7 @@
 	}
 }
 
-// readDeclarations reads a declarations file and lists its faults.
+// readDeclarations reads a declarations file and returns its faults.
 func readDeclarations(file string) (*berylconfig.Declarations, []string) {
 	body, err := os.ReadFile(file)
 	if err != nil {
--- a/cmd/berylspoke/config_test.go
+++ b/cmd/berylspoke/config_test.go
@@ -30,17 +30,17 @@
 	return &berylconfig.Patch{Base: base, Organisations: map[berylspoke.OrganisationID]*berylconfig.Organisation{"newcomer": {Weight: weight}}}
 }
 
-func (fleet *processes) waitVersion(version berylspoke.ConfigVersion) {
+func (fleet *processFleet) waitVersion(version berylspoke.ConfigVersion) {
 	fleet.t.Helper()
 	for vm := range fleet.running {
 		fleet.waitState(vm, func(state berylserve.Dump) bool { return state.Ready && state.Version == version })
 	}
 }
 
-// Two operators publish patches against the same version while the platform
-// then goes stale and a daemon restarts empty. One patch wins at every daemon,
-// the loser is told, and the restarted daemon does not fall back to what the
-// platform shows.
+// Guards against daemons that disagree on concurrent patches, or fall back to an older
+// version after a restart. Two operators publish patches against the same version: one
+// takes effect at every daemon, and the outcome of the other names the conflict. Then
+// a daemon restarts without state while the platform shows only old patches.
 func TestOperatorsRaceAndStalePlatform(t *testing.T) {
 	fleet := startProcesses(t, berylfleet.Kitamine(), nil)
 	fleet.publish(weightPatch(1, 5))
@@ -57,7 +57,7 @@
 	fleet.start(restarted)
 	fleet.waitVersion(2)
 
-	// The platform is down for a while and then whole again.
+	// The platform is down for a while and then shows all patches again.
 	fleet.Platform.SetDown(true)
 	fleet.kill(restarted)
 	fleet.start(restarted)
@@ -67,16 +67,18 @@
 	fleet.waitVersion(3)
 }
 
-// The regions lose each other while an operator publishes a patch, and a daemon
-// behind the cut restarts. Both sides serve drafts all the time; after the cut
-// all daemons know each other and the same version again.
+// Guards against regions that stop serving during a network partition or stay apart
+// after it. During the partition an operator publishes a patch, which takes effect on
+// both sides, both serve drafts, and a daemon restarts. Afterwards all daemons see each
+// other alive again.
 func TestRegionsCutAndRejoin(t *testing.T) {
 	plan := berylfleet.Kitamine()
 	fleet := startProcesses(t, plan, nil)
 	relays, err := berylfleet.StartRelays(fleet.Plan)
 	require.NoError(t, err)
 	defer relays.Close()
-	// Daemons learn the relays' addresses from the list and reconnect.
+	// Daemons learn the relays' addresses from the platform's list of VMs when they
+	// restart.
 	fleet.Platform.SetVMs(relays.Advertised())
 	for _, vm := range fleet.Plan.VMs() {
 		fleet.kill(vm.ID)
@@ -111,40 +113,41 @@
 	}
 }
 
-// An engine is declared leaving. After the change is in force nothing new is
-// sent to it, though entries held slots of it; what runs there ends.
-func TestLeavingTargetGetsNothingNew(t *testing.T) {
+// Guards against new requests to a draining engine: once the change is in force none
+// is sent to it, although entry daemons held leased slots of it. Requests that run
+// there complete.
+func TestDrainingTargetGetsNoNewRequests(t *testing.T) {
 	plan := berylfleet.Kitamine()
 	plan.Areas = plan.Areas[:1]
 	plan.Areas[0].Engines = 2
 	fleet := startProcesses(t, plan, nil)
 	ctx := testContext(t)
 	entry := fleet.Plan.VMs()[0].ID
-	var drafts []*streamed
+	var drafts []*draftStream
 	for i := range 6 {
 		drafts = append(drafts, startDraft(ctx, fleet.client("small-3", entry), plan.Model, fmt.Sprintf("Case %d. [tokens=60]", i), 1))
 	}
 	for _, draft := range drafts {
 		fleet.waitTokens(draft, 1)
 	}
-	leaving := fleet.busyEngine()
-	target := fleet.Plan.Targets()[leaving]
+	draining := fleet.busyEngine()
+	target := fleet.Plan.Targets()[draining]
 	target.Leaving = true
-	fleet.publish(&berylconfig.Patch{Base: 1, Targets: map[berylspoke.TargetID]*berylconfig.Target{leaving: &target}})
+	fleet.publish(&berylconfig.Patch{Base: 1, Targets: map[berylspoke.TargetID]*berylconfig.Target{draining: &target}})
 	fleet.waitVersion(2)
 	for _, draft := range drafts {
 		draft.wait(t)
 	}
-	before := fleet.Engines[leaving].Stats().Tokens
+	before := fleet.Engines[draining].Stats().Tokens
 	for i := range 10 {
 		startDraft(ctx, fleet.client("small-3", entry), plan.Model, fmt.Sprintf("Later case %d. [tokens=10]", i), 1).wait(t)
 	}
-	require.Equal(t, before, fleet.Engines[leaving].Stats().Tokens)
+	require.Equal(t, before, fleet.Engines[draining].Stats().Tokens)
 }
 
-// A filing's owner freezes and the regions' platform goes down at once, twice in
-// a row. The caller settles elsewhere each time; nothing runs twice and "not
-// run" stays true.
+// Guards against a filing that runs after another daemon settled it as not run. The
+// owner of the id freezes while the platform is down, twice in a row. The caller
+// settles at another daemon, and the filing that reaches the owner late does not run.
 func TestFrozenOwnerAndPlatformDownTogether(t *testing.T) {
 	fleet := startProcesses(t, berylfleet.Parish(), nil)
 	ctx := testContext(t)
@@ -167,9 +170,9 @@
 	require.Zero(t, requests)
 }
 
-// One organisation floods a daemon with far more than its bound. It is refused
-// at once with when to come back, and another organisation's draft at the same
-// daemon is served at once.
+// Guards against a flood of one organisation that delays others. Its requests beyond
+// its limit are rejected at once with a time to retry after, and a draft of another
+// organisation at the same daemon is served.
 func TestFloodIsRefusedAtOnce(t *testing.T) {
 	plan := berylfleet.Kitamine()
 	fleet := startProcesses(t, plan, nil)
@@ -179,7 +182,7 @@
 	flood.MaxWaiting = 5
 	fleet.publish(&berylconfig.Patch{Base: 1, Organisations: map[berylspoke.OrganisationID]*berylconfig.Organisation{"small-1": flood}})
 	fleet.waitVersion(2)
-	var drafts []*streamed
+	var drafts []*draftStream
 	for i := range 300 {
 		drafts = append(drafts, startDraft(ctx, fleet.client("small-1", entry), plan.Model, fmt.Sprintf("Flood %d. [tokens=400]", i), 1))
 	}
@@ -199,12 +202,12 @@
 			}
 		}
 		return refused > 150
-	}, patience, 20*time.Millisecond)
+	}, waitTimeout, 20*time.Millisecond)
 	startDraft(ctx, fleet.client("small-2", entry), plan.Model, "A quick question. [tokens=10]", 1).wait(t)
 }
 
-// A caller tries keys, ids and bodies that it must not use. Each is refused with
-// a clear error and a verdict, and nothing runs.
+// Requests with invalid keys, ids and bodies are rejected with a reason and the verdict
+// notRun, and none runs.
 func TestBadInputIsRefused(t *testing.T) {
 	plan := berylfleet.Kitamine()
 	plan.Areas = plan.Areas[:1]
@@ -222,7 +225,7 @@
 	}{
 		{"no key", "POST", drafts, "", "", `{"prompt":"x"}`, 401, "unauthorised"},
 		{"wrong key", "POST", drafts, "guess", "", `{"prompt":"x"}`, 401, "unauthorised"},
-		{"garbled body", "POST", drafts, "small-1", "", `{"prompt":`, 400, "malformed"},
+		{"malformed body", "POST", drafts, "small-1", "", `{"prompt":`, 400, "malformed"},
 		{"unknown field", "POST", drafts, "small-1", "", `{"promt":"x"}`, 400, "malformed"},
 		{"negative number", "POST", drafts, "small-1", "", `{"prompt":"x","maxTokens":-1}`, 400, "malformed"},
 		{"oversized body", "POST", drafts, "small-1", "", `{"prompt":"` + strings.Repeat("x", 2000) + `"}`, 400, "malformed"},
@@ -258,8 +261,9 @@
 	require.Zero(t, requests)
 }
 
-// An engine that does not look at fencing numbers takes a late order of a keeper
-// that was paused. The next comparison with its declared state sets it right.
+// Guards against an engine that stays in a stale state: it ignores fencing numbers and
+// accepts a late order, as a lessor sends that was paused. The next comparison with
+// the declared state restores it.
 func TestEnginesReturnToTheirDeclaredState(t *testing.T) {
 	plan := berylfleet.Kitamine()
 	plan.Areas = plan.Areas[:1]
@@ -273,19 +277,19 @@
 	holds := func(version string) func() bool {
 		return func() bool { return fleet.Engines[id].Held().Version == version }
 	}
-	require.Eventually(t, holds("v1"), patience, 50*time.Millisecond)
+	require.Eventually(t, holds("v1"), waitTimeout, 50*time.Millisecond)
 	target.Version = "v2"
 	fleet.publish(&berylconfig.Patch{Base: 2, Targets: map[berylspoke.TargetID]*berylconfig.Target{id: &target}})
-	require.Eventually(t, holds("v2"), patience, 50*time.Millisecond)
+	require.Eventually(t, holds("v2"), waitTimeout, 50*time.Millisecond)
 	late := strings.NewReader(`{"fence":2,"model":"letters","version":"v1","role":"decode"}`)
 	response, err := http.Post("http://"+target.Address+"/v1/orders", "application/json", late)
 	require.NoError(t, err)
 	require.NoError(t, response.Body.Close())
-	require.True(t, holds("v1")(), "the engine took the late order")
-	require.Eventually(t, holds("v2"), patience, 50*time.Millisecond)
+	require.True(t, holds("v1")(), "the engine accepted the late order")
+	require.Eventually(t, holds("v2"), waitTimeout, 50*time.Millisecond)
 }
 
-// run runs the program with arguments and returns its exit code and output.
+// run runs the program and returns its exit code and its combined output.
 func run(t *testing.T, arguments ...string) (int, string) {
 	t.Helper()
 	command := exec.Command(program, arguments...)
@@ -298,8 +302,8 @@
 	return command.ProcessState.ExitCode(), output.String()
 }
 
-// An operator checks declarations with mistakes, mends them, and makes the patch
-// from them; the fleet takes it.
+// An operator checks declarations and settings with faults, then creates a patch from
+// valid declarations, and the fleet applies it.
 func TestCheckAndPatch(t *testing.T) {
 	plan := berylfleet.Kitamine()
 	plan.Areas = plan.Areas[:1]
@@ -323,10 +327,10 @@
 	require.Equal(t, 1, code)
 	require.Contains(t, output, "unknown flag -setings, did you mean -settings?")
 
-	wanted := berylconfig.Empty().Declarations
-	wanted = fleet.Plan.Patch().Apply(wanted)
-	delete(wanted.Organisations, "small-13")
-	body, err := json.Marshal(wanted)
+	desired := berylconfig.Empty().Declarations
+	desired = fleet.Plan.Patch().Apply(desired)
+	delete(desired.Organisations, "small-13")
+	body, err := json.Marshal(desired)
 	require.NoError(t, err)
 	declarations, out := write("declarations.json", string(body)), filepath.Join(t.TempDir(), "patch.json")
 	code, output = run(t, "patch", "-declarations", declarations, "-platform", fleet.Plan.PlatformAddress(), "-out", out)
--- a/cmd/berylspoke/demo.go
+++ b/cmd/berylspoke/demo.go
@@ -1,6 +1,6 @@
 package main
 
-// This file defines the command that shows the main job on embedded stand-ins.
+// This file defines the command that demonstrates a small fleet with embedded fakes.
 
 import (
 	"context"
@@ -22,8 +22,8 @@
 	"berylspoke/io/berylfleet"
 )
 
-// demoLimit bounds the demo without -stay.
-const demoLimit = 28 * time.Second
+// demoTimeout bounds the demo; with -stay the fleet keeps running after it.
+const demoTimeout = 28 * time.Second
 
 type demoCommand struct {
 	deployment string
@@ -31,20 +31,20 @@
 }
 
 func (*demoCommand) Name() string     { return "demo" }
-func (*demoCommand) Synopsis() string { return "show the main job on embedded stand-ins" }
+func (*demoCommand) Synopsis() string { return "demonstrate a small fleet with embedded fakes" }
 func (*demoCommand) Usage() string {
 	return `demo [-deployment kitamine|parish] [-stay]
 
-Brings up a small fleet with stand-ins in this process, streams a draft, sends a
-filing twice that runs once, puts a patch into force everywhere and stops. With
--stay the fleet stays up and curl lines to try are printed.
+Starts a small fleet with fake targets in this process, streams a draft, sends a
+filing twice that runs once, applies a patch at all daemons and stops. With -stay
+the fleet keeps running and example curl commands are printed.
 
 `
 }
 
 func (command *demoCommand) SetFlags(flags *flag.FlagSet) {
-	flags.StringVar(&command.deployment, "deployment", "kitamine", "kitamine or parish")
-	flags.BoolVar(&command.stay, "stay", false, "keep the fleet up until interrupted")
+	flags.StringVar(&command.deployment, "deployment", "kitamine", "deployment to run, kitamine or parish")
+	flags.BoolVar(&command.stay, "stay", false, "keep the fleet running until interrupted")
 }
 
 func (command *demoCommand) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
@@ -64,21 +64,21 @@
 		return err
 	}
 	plan.Base = base
-	began := time.Now()
+	started := time.Now()
 	fleet, err := berylfleet.StartEmbedded(plan, zap.NewNop(), nil)
 	if err != nil {
 		return err
 	}
 	defer fleet.Close()
-	limited, cancel := context.WithTimeout(ctx, demoLimit)
+	demoCtx, cancel := context.WithTimeout(ctx, demoTimeout)
 	defer cancel()
-	if err := fleet.WaitReady(limited, 1); err != nil {
+	if err := fleet.WaitReady(demoCtx, 1); err != nil {
 		return err
 	}
 	fmt.Printf("%d daemons, %d engines and %d desks are up after %s\n\n", len(fleet.Daemons),
-		len(fleet.Engines), len(fleet.Desks), time.Since(began).Round(time.Millisecond))
+		len(fleet.Engines), len(fleet.Desks), time.Since(started).Round(time.Millisecond))
 	for _, step := range []func(context.Context, *berylfleet.Embedded) error{showDraft, showFiling, showPatch} {
-		if err := step(limited, fleet); err != nil {
+		if err := step(demoCtx, fleet); err != nil {
 			return err
 		}
 	}
@@ -97,14 +97,14 @@
 }
 
 func showDraft(ctx context.Context, fleet *berylfleet.Embedded) error {
-	fmt.Println("A draft, streamed as it is written:")
-	began := time.Now()
+	fmt.Println("A draft, streamed as it is generated:")
+	started := time.Now()
 	var first time.Duration
 	tokens, err := demoClient(fleet, "small-1").Stream(ctx, berylcall.Draft{
 		Service: fleet.Plan.Model, Prompt: "A letter about unpaid overtime. [tokens=40]",
 	}, func(text string, _ berylspoke.Tokens) {
 		if first == 0 {
-			first = time.Since(began)
+			first = time.Since(started)
 		}
 		fmt.Print(text)
 	})
@@ -112,7 +112,7 @@
 		return errors.Wrap(err, "draft")
 	}
 	fmt.Printf("\n%d tokens, the first after %s, all after %s\n\n", tokens,
-		first.Round(time.Millisecond), time.Since(began).Round(time.Millisecond))
+		first.Round(time.Millisecond), time.Since(started).Round(time.Millisecond))
 	return nil
 }
 
@@ -134,10 +134,10 @@
 		}
 		fmt.Printf("  %s: %s", outcome.Verdict, outcome.Body)
 	}
-	most, requests := fleet.Executions()
-	fmt.Printf("the desks executed %d request, %d time\n\n", requests, most)
-	if most != 1 || requests != 1 {
-		return fmt.Errorf("the filing ran %d times", most)
+	maxRuns, requests := fleet.Executions()
+	fmt.Printf("the desks executed %d request, %d time\n\n", requests, maxRuns)
+	if maxRuns != 1 || requests != 1 {
+		return fmt.Errorf("the filing ran %d times", maxRuns)
 	}
 	return nil
 }
@@ -164,7 +164,7 @@
 	vm := fleet.Plan.VMs()[0]
 	key := fleet.Plan.Key("small-1")
 	fmt.Printf(`
-The fleet stays up; interrupt to stop. To try:
+The fleet keeps running; interrupt to stop. Examples:
 
   curl -s -H 'Authorization: Bearer %[1]s' http://%[2]s/v1/resolve
   curl -sN -H 'Authorization: Bearer %[1]s' -d '{"prompt":"A short letter. [tokens=30]"}' http://%[2]s/v1/services/%[3]s/drafts
--- a/cmd/berylspoke/dump.go
+++ b/cmd/berylspoke/dump.go
@@ -15,8 +15,8 @@
 	"github.com/pkg/errors"
 )
 
-// tokenVariable names the environment variable with the operators' token; a
-// flag would show it in the list of processes.
+// tokenVariable is the environment variable with the operators' token. A flag would
+// show the token in the list of processes.
 const tokenVariable = "BERYLSPOKE_TOKEN"
 
 type dumpCommand struct{}
@@ -26,8 +26,8 @@
 func (*dumpCommand) Usage() string {
 	return `dump IP:PORT
 
-Prints the state of the daemon whose operators' address is given. The
-operators' token is taken from BERYLSPOKE_TOKEN.
+Prints the state of the daemon with the given operators' address. The operators'
+token is taken from BERYLSPOKE_TOKEN.
 
 `
 }
@@ -36,7 +36,7 @@
 
 func (command *dumpCommand) Execute(ctx context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if flags.NArg() != 1 {
-		return fail(errors.New("dump needs one address"))
+		return fail(errors.New("dump needs exactly one address"))
 	}
 	if err := command.run(ctx, flags.Arg(0)); err != nil {
 		return fail(err)
@@ -54,11 +54,11 @@
 	request.Header.Set("Authorization", "Bearer "+os.Getenv(tokenVariable))
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return errors.Wrap(err, "daemon does not answer")
+		return errors.Wrap(err, "request to the daemon failed")
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
-		return fmt.Errorf("daemon answers %s", response.Status)
+		return fmt.Errorf("daemon answered %s", response.Status)
 	}
 	_, err = io.Copy(os.Stdout, response.Body)
 	return err
--- a/cmd/berylspoke/edge.go
+++ b/cmd/berylspoke/edge.go
@@ -21,15 +21,14 @@
 )
 
 const (
-	// memoryShare is the part of the process's memory that the runtime may fill
-	// before it collects garbage eagerly; the rest is for stacks and the kernel's
-	// buffers.
-	memoryShare = 0.6
-	// settingsEvery is the time between two looks at the settings file, which may
-	// change without a signal.
-	settingsEvery = 2 * time.Second
-	// defaultFleetKey joins the daemons of one deployment where the platform
-	// hands out no secrets; its network is the only protection then.
+	// memoryLimitFraction is the fraction of the process's memory above which the
+	// runtime collects garbage eagerly; the rest is for stacks and kernel buffers.
+	memoryLimitFraction = 0.6
+	// settingsPollInterval is the time between two reads of the settings file, which
+	// may change without a signal.
+	settingsPollInterval = 2 * time.Second
+	// defaultFleetKey is used where the platform provides no secrets. Only the
+	// platform's network protects the traffic between daemons then.
 	defaultFleetKey = "berylspoke: no secret on this platform"
 )
 
@@ -40,8 +39,9 @@
 func (*edgeCommand) Usage() string {
 	return `edge [-settings FILE]
 
-Runs one daemon until SIGTERM, which drains it: it leaves the resolve answers and
-stops once its callers have left. SIGHUP reads the settings anew.
+Runs one daemon until SIGTERM, which drains it: it is no longer listed in resolve
+answers and stops once no request is running and no new ones arrive. SIGHUP reloads
+the settings.
 
 `
 }
@@ -49,8 +49,8 @@
 func (command *edgeCommand) SetFlags(flags *flag.FlagSet) {
 	flags.StringVar(&command.settings, "settings", "", "settings `file` of the platform (default $"+berylbinding.SettingsVariable+")")
 	flags.StringVar(&command.fleetKey, "fleetKey", defaultFleetKey, "`key` that the daemons of one fleet share")
-	flags.StringVar(&command.metrics, "metrics", "", "further `port` for metrics")
-	flags.StringVar(&command.level, "logLevel", "info", "least `level` that is logged")
+	flags.StringVar(&command.metrics, "metrics", "", "additional `port` for metrics")
+	flags.StringVar(&command.level, "logLevel", "info", "minimum `level` that is logged")
 }
 
 func (command *edgeCommand) Execute(context.Context, *flag.FlagSet, ...any) subcommands.ExitStatus {
@@ -72,7 +72,7 @@
 	if command.metrics != "" {
 		settings.Metrics = settings.VM.Host() + ":" + command.metrics
 	}
-	debug.SetMemoryLimit(int64(memoryShare * float64(settings.MemoryBytes)))
+	debug.SetMemoryLimit(int64(memoryLimitFraction * float64(settings.MemoryBytes)))
 	log := beryllog.New(os.Stdout, level.Level())
 	defer func() { _ = log.Sync() }()
 	signals := make(chan os.Signal, 4)
@@ -82,20 +82,21 @@
 	if err != nil {
 		return fail(err)
 	}
-	command.wait(path, daemon, signals, log)
+	command.reloadUntilStopped(path, daemon, signals, log)
 	daemon.Stop()
 	return subcommands.ExitSuccess
 }
 
-// wait applies changes of the settings until the process is asked to stop.
-func (command *edgeCommand) wait(path string, daemon *beryledge.Daemon, signals <-chan os.Signal, log *zap.Logger) {
-	ticker := time.NewTicker(settingsEvery)
+// reloadUntilStopped applies changes of the settings until a signal asks the process
+// to stop.
+func (command *edgeCommand) reloadUntilStopped(path string, daemon *beryledge.Daemon, signals <-chan os.Signal, log *zap.Logger) {
+	ticker := time.NewTicker(settingsPollInterval)
 	defer ticker.Stop()
 	seen, _ := os.ReadFile(path)
 	for {
 		select {
-		case signalled := <-signals:
-			if signalled != syscall.SIGHUP {
+		case received := <-signals:
+			if received != syscall.SIGHUP {
 				return
 			}
 		case <-ticker.C:
@@ -107,7 +108,7 @@
 		seen = body
 		settings, err := berylbinding.LoadSettings(path)
 		if err != nil {
-			log.Warn("changed settings are not used", zap.String("error", err.Error()))
+			log.Warn("changed settings cannot be loaded; the previous ones stay in use", zap.String("error", err.Error()))
 			continue
 		}
 		daemon.Reload(settings)
--- a/cmd/berylspoke/faults_test.go
+++ b/cmd/berylspoke/faults_test.go
@@ -1,7 +1,7 @@
 package main
 
-// This file tests whole answers and calls that run at most once, with real
-// processes under faults.
+// This file tests under faults, with real processes, that answers are complete and
+// calls run at most once.
 
 import (
 	"context"
@@ -22,8 +22,8 @@
 	"berylspoke/io/berylstand"
 )
 
-// streamed is a draft that goes on in the background.
-type streamed struct {
+// draftStream is a draft that is received in the background.
+type draftStream struct {
 	prompt string
 	text   strings.Builder
 	mutex  sync.Mutex
@@ -31,45 +31,44 @@
 	done   chan error
 }
 
-func (streamed *streamed) received() berylspoke.Tokens {
-	streamed.mutex.Lock()
-	defer streamed.mutex.Unlock()
-	return streamed.tokens
+func (draftStream *draftStream) received() berylspoke.Tokens {
+	draftStream.mutex.Lock()
+	defer draftStream.mutex.Unlock()
+	return draftStream.tokens
 }
 
-// wait returns after the draft's end and checks that it arrived whole: every
-// byte of its own answer, once and in order.
-func (streamed *streamed) wait(t *testing.T) {
+// wait waits for the end of the draft and checks that every byte of its own answer
+// arrived once and in order.
+func (draftStream *draftStream) wait(t *testing.T) {
 	t.Helper()
-	require.NoError(t, <-streamed.done)
-	require.Equal(t, berylstand.Text(streamed.prompt, 0), streamed.text.String())
+	require.NoError(t, <-draftStream.done)
+	require.Equal(t, berylstand.Text(draftStream.prompt, 0), draftStream.text.String())
 }
 
-// startDraft streams a draft; with one attempt, only the fleet can make a fault
-// good.
-func startDraft(ctx context.Context, client *berylcall.Client, service berylspoke.ServiceID, prompt string, attempts int) *streamed {
-	streamed := &streamed{prompt: prompt, done: make(chan error, 1)}
+// startDraft streams a draft. With one attempt the client does not retry, so only the
+// fleet can recover from a fault.
+func startDraft(ctx context.Context, client *berylcall.Client, service berylspoke.ServiceID, prompt string, attempts int) *draftStream {
+	draftStream := &draftStream{prompt: prompt, done: make(chan error, 1)}
 	go func() {
 		_, err := client.Stream(ctx, berylcall.Draft{Service: service, Prompt: prompt, Attempts: attempts}, func(piece string, tokens berylspoke.Tokens) {
-			streamed.mutex.Lock()
-			defer streamed.mutex.Unlock()
-			streamed.text.WriteString(piece)
-			streamed.tokens += tokens
+			draftStream.mutex.Lock()
+			defer draftStream.mutex.Unlock()
+			draftStream.text.WriteString(piece)
+			draftStream.tokens += tokens
 		})
-		streamed.done <- err
+		draftStream.done <- err
 	}()
-	return streamed
+	return draftStream
 }
 
-func (fleet *processes) waitTokens(streamed *streamed, least berylspoke.Tokens) {
+func (fleet *processFleet) waitTokens(draftStream *draftStream, minTokens berylspoke.Tokens) {
 	fleet.t.Helper()
-	require.Eventually(fleet.t, func() bool { return streamed.received() >= least }, patience, 10*time.Millisecond)
+	require.Eventually(fleet.t, func() bool { return draftStream.received() >= minTokens }, waitTimeout, 10*time.Millisecond)
 }
 
-// A labour consultant watches a long draft arrive when the daemon that streams
-// it dies. The caller asks another daemon to go on at its offset, and the draft
-// ends whole.
-func TestDraftSurvivesItsEntry(t *testing.T) {
+// Guards against a draft that is lost or damaged when the entry daemon that streams it
+// crashes: the caller resumes it at its offset through another daemon.
+func TestDraftSurvivesEntryDaemonCrash(t *testing.T) {
 	fleet := startProcesses(t, berylfleet.Kitamine(), nil)
 	entry, other := fleet.Plan.VMs()[0].ID, fleet.Plan.VMs()[4].ID
 	client := fleet.client("small-3", entry, other)
@@ -79,9 +78,9 @@
 	draft.wait(t)
 }
 
-// The engine that writes a draft dies in the middle. The entry asks another
-// engine to resume at the offset that the caller already has.
-func TestDraftSurvivesItsEngine(t *testing.T) {
+// Guards against a draft that is lost or damaged when its engine crashes: the entry
+// daemon resumes it on another engine at the offset that the caller has reached.
+func TestDraftSurvivesEngineCrash(t *testing.T) {
 	fleet := startProcesses(t, berylfleet.Kitamine(), nil)
 	entry := fleet.Plan.VMs()[0].ID
 	draft := startDraft(testContext(t), fleet.client("small-3", entry), fleet.Plan.Model, "A dossier of wages. [tokens=80]", 1)
@@ -90,7 +89,7 @@
 	draft.wait(t)
 }
 
-func (fleet *processes) busyEngine() berylspoke.TargetID {
+func (fleet *processFleet) busyEngine() berylspoke.TargetID {
 	fleet.t.Helper()
 	for id, engine := range fleet.Engines {
 		if engine.Stats().Running > 0 {
@@ -101,9 +100,10 @@
 	return ""
 }
 
-// Something on the way forgets the connection between entry and engine: the
-// draft stops without an error while the engine goes on. The entry notices by
-// asking the engine over a new connection, and resumes the draft.
+// Guards against a draft that hangs because a network device dropped the state of the
+// connection between entry daemon and engine: bytes stop without an error while the
+// engine continues. The entry daemon detects this by querying the engine over a new
+// connection, and resumes the draft.
 func TestDraftSurvivesSilentConnection(t *testing.T) {
 	plan := berylfleet.Kitamine()
 	plan.Areas = plan.Areas[:1]
@@ -129,9 +129,9 @@
 	draft.wait(t)
 }
 
-// A caller's daemon dies while a filing is at the desk. Another daemon finds
-// the witness, which issued the permit, and says that the filing may have run;
-// the desk saw it once.
+// Guards against a filing that runs twice or is reported as not run when its owner
+// crashes while the desk processes it. Another daemon asks the witness, which issued
+// the permit, and answers that the filing may have run.
 func TestFilingWhoseOwnerDies(t *testing.T) {
 	plan := berylfleet.Kitamine()
 	plan.DeskFor = 3 * time.Second
@@ -143,7 +143,7 @@
 	outcomes := make(chan berylcall.Outcome, 1)
 	settler := fleet.client("small-1", other)
 	go func() { outcomes <- settler.File(ctx, plan.Desk, "/letters", id, owner, "text/plain", []byte("x")) }()
-	require.Eventually(t, func() bool { _, requests := fleet.Executions(); return requests == 1 }, patience, 5*time.Millisecond)
+	require.Eventually(t, func() bool { _, requests := fleet.Executions(); return requests == 1 }, waitTimeout, 5*time.Millisecond)
 	fleet.kill(entry)
 	outcome := <-outcomes
 	require.Equal(t, berylspoke.MayHaveRun, outcome.Verdict)
@@ -152,13 +152,13 @@
 	fleet.waitState(entry, func(state berylserve.Dump) bool { return state.Ready })
 	again := client.File(ctx, plan.Desk, "/letters", id, owner, "text/plain", []byte("x"))
 	require.Equal(t, berylspoke.MayHaveRun, again.Verdict, "the restarted daemon is not the owner")
-	most, requests := fleet.Executions()
-	require.Equal(t, 1, most)
+	maxRuns, requests := fleet.Executions()
+	require.Equal(t, 1, maxRuns)
 	require.Equal(t, 1, requests)
 }
 
-// newID asks one daemon for a ticket of its own.
-func (fleet *processes) newID(ctx context.Context, organisation berylspoke.OrganisationID, vm berylspoke.VMID) (id, owner string) {
+// newID obtains a ticket id that is owned by the given daemon.
+func (fleet *processFleet) newID(ctx context.Context, organisation berylspoke.OrganisationID, vm berylspoke.VMID) (id, owner string) {
 	fleet.t.Helper()
 	client := berylcall.New(berylcall.Options{
 		Seeds: []string{fleet.settings[vm].CallAddress}, Key: fleet.Plan.Key(organisation),
@@ -168,19 +168,20 @@
 	return id, owner
 }
 
-// A daemon freezes before a filing reaches it. The caller gives up, asks another
-// daemon and hears "not run". The daemon wakes up long after every timeout and
-// finds the filing in its socket; it must not run it.
+// Guards against a filing that runs after it was settled as not run. Its owner freezes
+// before the filing reaches it, and the caller times out and settles at another daemon.
+// The owner resumes after every timeout, finds the filing in its socket and must not
+// run it.
 func TestFilingAtFrozenOwner(t *testing.T) {
 	fleet := startProcesses(t, berylfleet.Kitamine(), nil)
 	ctx := testContext(t)
 	entry, other := fleet.Plan.VMs()[0].ID, fleet.Plan.VMs()[4].ID
 	id, owner := fleet.newID(ctx, "small-1", entry)
 	fleet.signal(entry, syscall.SIGSTOP)
-	short, cancel := context.WithTimeout(ctx, 500*time.Millisecond)
+	shortCtx, cancel := context.WithTimeout(ctx, 500*time.Millisecond)
 	defer cancel()
-	filed := fleet.client("small-1", entry).File(short, fleet.Plan.Desk, "/letters", id, owner, "text/plain", []byte("x"))
-	require.Equal(t, berylspoke.MayHaveRun, filed.Verdict, "nobody answered in time")
+	filed := fleet.client("small-1", entry).File(shortCtx, fleet.Plan.Desk, "/letters", id, owner, "text/plain", []byte("x"))
+	require.Equal(t, berylspoke.MayHaveRun, filed.Verdict, "the frozen owner did not answer in time")
 	settled := fleet.client("small-1", other).Settle(ctx, id, fleet.settings[other].CallAddress)
 	require.Equal(t, berylspoke.NotRun, settled.Verdict)
 
@@ -202,13 +203,14 @@
 	return "unknown"
 }
 
-// A VM is taken out of service while drafts stream through it and filings run.
-// It answers them all before it stops, and refuses what comes later truthfully.
+// Guards against a planned stop that cuts requests: a daemon drains while drafts stream
+// through it and completes them all, and serves a filing that arrives during the
+// notice period.
 func TestPlannedStopCutsNoRequest(t *testing.T) {
 	fleet := startProcesses(t, berylfleet.Kitamine(), nil)
 	ctx := testContext(t)
 	entry := fleet.Plan.VMs()[0].ID
-	var drafts []*streamed
+	var drafts []*draftStream
 	for i := range 6 {
 		prompt := fmt.Sprintf("Case %d. [tokens=150]", i)
 		drafts = append(drafts, startDraft(ctx, fleet.client("small-3", entry), fleet.Plan.Model, prompt, 1))
@@ -219,7 +221,7 @@
 	id, owner := fleet.newID(ctx, "small-1", entry)
 	fleet.signal(entry, syscall.SIGTERM)
 	filed := fleet.client("small-1", entry).File(ctx, fleet.Plan.Desk, "/letters", id, owner, "text/plain", []byte("x"))
-	require.Equal(t, berylspoke.Ran, filed.Verdict, "callers are served for a notice after the announcement")
+	require.Equal(t, berylspoke.Ran, filed.Verdict, "callers are served during the notice period")
 	for _, draft := range drafts {
 		draft.wait(t)
 	}
--- a/cmd/berylspoke/load.go
+++ b/cmd/berylspoke/load.go
@@ -1,6 +1,6 @@
 package main
 
-// This file defines the command that loads and measures a running fleet.
+// This file defines the command that generates load on a running fleet and measures it.
 
 import (
 	"context"
@@ -23,13 +23,14 @@
 }
 
 func (*loadCommand) Name() string     { return "load" }
-func (*loadCommand) Synopsis() string { return "load a running fleet and measure it" }
+func (*loadCommand) Synopsis() string { return "generate load on a running fleet and measure it" }
 func (*loadCommand) Usage() string {
 	return `load -fleet FILE [-scenario backlog|flood|steady] [-seed N] [-json FILE]
 
-Drives a running fleet and reports the fairness gap, utilisation, control bytes
-and latency. FILE names entries, organisations with keys, and engines; "plan"
-writes one for a fleet on loopback. The same seed sends the same requests.
+Generates load on a running fleet and reports the fairness gap, utilisation,
+control bytes and latency. FILE lists entry daemons, organisations with keys, and
+engines; "plan" writes one for a fleet on loopback. The same seed sends the same
+requests.
 
 `
 }
@@ -39,13 +40,13 @@
 	flags.StringVar(&command.fleet, "fleet", "", "`file` that describes the fleet")
 	flags.StringVar(&command.json, "json", "", "`file` for the report as JSON")
 	flags.StringVar(&command.scenario, "scenario", string(command.options.Scenario), "backlog (closed loop), flood or steady (open loop)")
-	flags.DurationVar(&command.options.Warmup, "warmup", command.options.Warmup, "time before the measurement")
-	flags.DurationVar(&command.options.Measure, "measure", command.options.Measure, "time of the measurement")
-	flags.Uint64Var(&command.options.Seed, "seed", command.options.Seed, "seed of all that is random")
-	flags.Float64Var(&command.options.Rate, "rate", command.options.Rate, "drafts a second in an open loop")
-	flags.IntVar(&command.options.Outstanding, "outstanding", command.options.Outstanding, "drafts that an organisation keeps at each of its entries in a closed loop")
-	flags.IntVar(&command.options.LeastTokens, "least", command.options.LeastTokens, "shortest draft in tokens")
-	flags.IntVar(&command.options.MostTokens, "most", command.options.MostTokens, "longest draft in tokens")
+	flags.DurationVar(&command.options.Warmup, "warmup", command.options.Warmup, "duration of the load before the measurement")
+	flags.DurationVar(&command.options.Measure, "measure", command.options.Measure, "duration of the measurement")
+	flags.Uint64Var(&command.options.Seed, "seed", command.options.Seed, "random seed")
+	flags.Float64Var(&command.options.Rate, "rate", command.options.Rate, "drafts per second in an open loop")
+	flags.IntVar(&command.options.Outstanding, "outstanding", command.options.Outstanding, "outstanding drafts of an organisation at each of its entry daemons in a closed loop")
+	flags.IntVar(&command.options.LeastTokens, "least", command.options.LeastTokens, "minimum length of a draft in tokens")
+	flags.IntVar(&command.options.MostTokens, "most", command.options.MostTokens, "maximum length of a draft in tokens")
 	flags.BoolVar(&command.quiet, "quiet", false, "print no progress")
 }
 
@@ -64,10 +65,10 @@
 	if err := berylsettings.Decode(body, &fleet); err != nil {
 		return fail(err)
 	}
-	began := time.Now()
+	started := time.Now()
 	if !command.quiet {
 		command.options.Progress = func(text string) {
-			fmt.Fprintf(os.Stderr, "%6.1f s  %s\n", time.Since(began).Seconds(), text)
+			fmt.Fprintf(os.Stderr, "%6.1f s  %s\n", time.Since(started).Seconds(), text)
 		}
 	}
 	report, err := berylload.Run(ctx, fleet, command.options)
--- a/cmd/berylspoke/main.go
+++ b/cmd/berylspoke/main.go
@@ -1,7 +1,7 @@
-// Command berylspoke runs, checks and drives a fleet of routers whose callers'
-// organisations share capacity fairly.
 package main
 
+// This file defines the entry point and the check of flags.
+
 import (
 	"context"
 	"flag"
@@ -35,7 +35,7 @@
 	os.Exit(int(commander.Execute(context.Background())))
 }
 
-// checkFlags refuses an unknown flag of a command and names the nearest one.
+// checkFlags rejects an unknown flag of a command and suggests the nearest known one.
 func checkFlags(commands []subcommands.Command, arguments []string) error {
 	for _, command := range commands {
 		if len(arguments) == 0 || command.Name() != arguments[0] {
@@ -65,8 +65,8 @@
 			return nil
 		}
 	}
-	if near := berylsettings.Nearest(name, names); near != "" {
-		return fmt.Errorf("unknown flag -%s, did you mean -%s?", name, near)
+	if nearest := berylsettings.Nearest(name, names); nearest != "" {
+		return fmt.Errorf("unknown flag -%s, did you mean -%s?", name, nearest)
 	}
 	return fmt.Errorf("unknown flag -%s", name)
 }
--- a/cmd/berylspoke/patch.go
+++ b/cmd/berylspoke/patch.go
@@ -1,6 +1,6 @@
 package main
 
-// This file defines the command that makes a patch from declarations.
+// This file defines the command that creates a patch from declarations.
 
 import (
 	"context"
@@ -21,12 +21,12 @@
 type patchCommand struct{ declarations, platform, note, out string }
 
 func (*patchCommand) Name() string     { return "patch" }
-func (*patchCommand) Synopsis() string { return "make a patch from declarations in version control" }
+func (*patchCommand) Synopsis() string { return "create a patch from declarations in version control" }
 func (*patchCommand) Usage() string {
 	return `patch -declarations FILE -platform IP:PORT [-note TEXT] [-out FILE]
 
-Reads what the platform has published, folds it, and makes the patch that leads
-from the version in force to FILE. Shows the differences and the resulting
+Reads and folds the published patches of the platform and creates the patch that
+leads from the version in force to FILE. Prints the differences and the resulting
 version; nothing is published. With -out the patch is written to a file, which
 the operator publishes on the platform.
 
@@ -36,7 +36,7 @@
 func (command *patchCommand) SetFlags(flags *flag.FlagSet) {
 	flags.StringVar(&command.declarations, "declarations", "", "declarations `file`, JSON with comments")
 	flags.StringVar(&command.platform, "platform", "", "`address` of the platform's configuration service")
-	flags.StringVar(&command.note, "note", "", "why the change is made")
+	flags.StringVar(&command.note, "note", "", "reason for the change")
 	flags.StringVar(&command.out, "out", "", "`file` for the patch")
 }
 
@@ -48,7 +48,7 @@
 }
 
 func (command *patchCommand) run(ctx context.Context) error {
-	wanted, faults := readDeclarations(command.declarations)
+	desired, faults := readDeclarations(command.declarations)
 	if len(faults) > 0 {
 		return errors.Errorf("%s: %s (%d faults; see check)", command.declarations, faults[0], len(faults))
 	}
@@ -56,14 +56,14 @@
 	if err != nil {
 		return err
 	}
-	patch, changes := berylconfig.Diff(state, wanted, command.note)
+	patch, changes := berylconfig.Diff(state, desired, command.note)
 	if len(changes) == 0 {
 		fmt.Printf("version %d is in force already\n", state.Version)
 		return nil
 	}
 	body, err := json.Marshal(patch)
 	if err != nil {
-		return errors.Wrap(err, "patch cannot be encoded")
+		return errors.Wrap(err, "cannot encode the patch")
 	}
 	_, outcome := state.Fold(berylspoke.Published{Number: state.Number + 1, Body: body})
 	if !outcome.Accepted {
@@ -76,20 +76,20 @@
 	if command.out == "" {
 		return nil
 	}
-	return errors.Wrap(os.WriteFile(command.out, body, 0o644), "patch cannot be written")
+	return errors.Wrap(os.WriteFile(command.out, body, 0o644), "cannot write the patch")
 }
 
-// readTimeout bounds the reading of the platform's history; the last read waits
-// for news that do not come.
+// readTimeout bounds each read of the platform's history. The last read waits for
+// further patches that do not come.
 const readTimeout = 3 * time.Second
 
-// readState folds all that the platform has published.
+// readState returns the state after all patches that the platform has published.
 func readState(ctx context.Context, address string) (*berylconfig.State, error) {
 	client := berylplatform.NewClient(address)
 	store := berylconfig.NewStore()
 	for first := true; ; first = false {
-		reading, cancel := context.WithTimeout(ctx, readTimeout)
-		entries, err := client.Patches(reading, store.State().Number)
+		readCtx, cancel := context.WithTimeout(ctx, readTimeout)
+		entries, err := client.Patches(readCtx, store.State().Number)
 		cancel()
 		if err != nil && (first && !errors.Is(err, context.DeadlineExceeded) || ctx.Err() != nil) {
 			return nil, err
--- a/cmd/berylspoke/path_test.go
+++ b/cmd/berylspoke/path_test.go
@@ -1,6 +1,6 @@
 package main
 
-// This file tests the whole path of a request through separate processes.
+// This file tests the whole path of requests through separate processes.
 
 import (
 	"strings"
@@ -16,8 +16,8 @@
 	"berylspoke/io/berylstand"
 )
 
-// A secretary streams a draft, books a mailing twice under one id and reads it
-// back; an operator's patch comes into force at every daemon.
+// A caller streams a draft, files a booking twice under one id and reads an address,
+// and an operator's patch comes into force at every daemon.
 func TestWholePath(t *testing.T) {
 	fleet := startProcesses(t, berylfleet.Parish(), nil)
 	ctx := testContext(t)
@@ -38,8 +38,8 @@
 	second := client.File(ctx, fleet.Plan.Desk, "/bookings", id, owner, "text/plain", []byte("three hundred copies"))
 	require.NoError(t, first.Err)
 	require.Equal(t, first, second)
-	most, requests := fleet.Executions()
-	require.Equal(t, 1, most)
+	maxRuns, requests := fleet.Executions()
+	require.Equal(t, 1, maxRuns)
 	require.Equal(t, 1, requests)
 
 	status := client.Read(ctx, fleet.Plan.Desk, "/addresses/12")
--- a/cmd/berylspoke/plan.go
+++ b/cmd/berylspoke/plan.go
@@ -1,6 +1,6 @@
 package main
 
-// This file defines the command that lays out a deployment on loopback.
+// This file defines the command that writes the files of a deployment on loopback.
 
 import (
 	"context"
@@ -30,17 +30,17 @@
 
 Writes into DIR the settings of each daemon (VM.json), the first patch
 (patch.json) and the description for "load" (fleet.json) of a deployment on the
-addresses 127.N.x.y. "stand -kind deployment" runs its stand-ins.
+addresses 127.N.x.y. "stand -kind deployment" runs its fakes.
 
 `
 }
 
 func (command *planCommand) SetFlags(flags *flag.FlagSet) {
-	flags.StringVar(&command.deployment, "deployment", "kitamine", "kitamine or parish")
+	flags.StringVar(&command.deployment, "deployment", "kitamine", "deployment to write, kitamine or parish")
 	flags.StringVar(&command.folder, "folder", "", "`folder` to write to")
 	flags.StringVar(&command.policy, "policy", string(berylshare.FleetFair), "fleetFair, or a baseline: localFair, firstCome")
-	flags.IntVar(&command.scale, "scale", 1, "number of times the VMs and targets of the deployment")
-	flags.IntVar(&command.base, "base", 30, "second number of the loopback addresses")
+	flags.IntVar(&command.scale, "scale", 1, "factor for the numbers of VMs and targets of the deployment")
+	flags.IntVar(&command.base, "base", 30, "second byte of the loopback addresses")
 }
 
 func (command *planCommand) Execute(context.Context, *flag.FlagSet, ...any) subcommands.ExitStatus {
@@ -58,7 +58,7 @@
 	plan = plan.Scaled(command.scale)
 	plan.Base = command.base
 	if err := os.MkdirAll(command.folder, 0o755); err != nil {
-		return errors.Wrap(err, "folder cannot be made")
+		return errors.Wrap(err, "cannot create the folder")
 	}
 	for _, vm := range plan.VMs() {
 		settings := plan.Settings(vm)
--- a/cmd/berylspoke/process_test.go
+++ b/cmd/berylspoke/process_test.go
@@ -1,6 +1,6 @@
 package main
 
-// This file defines the fleets of real processes that the tests start.
+// This file defines the fleets of real processes that the tests run.
 
 import (
 	"context"
@@ -42,12 +42,12 @@
 	os.Exit(code)
 }
 
-// patience bounds the wait for a condition; it is far above what is expected,
-// so that a slow machine changes no verdict.
-const patience = 60 * time.Second
+// waitTimeout bounds the wait for a condition. It is far above the usual time, so
+// that a slow machine causes no failure.
+const waitTimeout = 60 * time.Second
 
-// processes is a deployment whose daemons are processes of their own.
-type processes struct {
+// processFleet is a deployment whose daemons are separate processes.
+type processFleet struct {
 	*berylfleet.Stands
 	t        *testing.T
 	folder   string
@@ -55,16 +55,17 @@
 	settings map[berylspoke.VMID]*berylsettings.Settings
 }
 
-// startProcesses starts stand-ins and one process for each VM.
-func startProcesses(t *testing.T, plan berylfleet.Plan, change func(*berylsettings.Settings)) *processes {
+// startProcesses starts the fakes and one process for each VM; change may alter the
+// settings of each.
+func startProcesses(t *testing.T, plan berylfleet.Plan, change func(*berylsettings.Settings)) *processFleet {
 	t.Helper()
 	base, err := berylfleet.FindBase(60)
 	require.NoError(t, err)
 	plan.Base = base
-	stands, err := berylfleet.StartStands(plan)
+	fakes, err := berylfleet.StartStands(plan)
 	require.NoError(t, err)
-	fleet := &processes{
-		Stands: stands, t: t, folder: t.TempDir(),
+	fleet := &processFleet{
+		Stands: fakes, t: t, folder: t.TempDir(),
 		running:  make(map[berylspoke.VMID]*exec.Cmd),
 		settings: make(map[berylspoke.VMID]*berylsettings.Settings),
 	}
@@ -85,7 +86,7 @@
 	return fleet
 }
 
-func (fleet *processes) start(vm berylspoke.VMID) {
+func (fleet *processFleet) start(vm berylspoke.VMID) {
 	fleet.t.Helper()
 	body, err := json.Marshal(fleet.settings[vm])
 	require.NoError(fleet.t, err)
@@ -100,19 +101,19 @@
 	fleet.running[vm] = command
 }
 
-// kill ends a daemon as a crash does.
-func (fleet *processes) kill(vm berylspoke.VMID) {
+// kill ends a daemon without a drain, like a crash.
+func (fleet *processFleet) kill(vm berylspoke.VMID) {
 	_ = fleet.running[vm].Process.Kill()
 	_ = fleet.running[vm].Wait()
 	delete(fleet.running, vm)
 }
 
-func (fleet *processes) signal(vm berylspoke.VMID, signal syscall.Signal) {
+func (fleet *processFleet) signal(vm berylspoke.VMID, signal syscall.Signal) {
 	fleet.t.Helper()
 	require.NoError(fleet.t, fleet.running[vm].Process.Signal(signal))
 }
 
-func (fleet *processes) close() {
+func (fleet *processFleet) close() {
 	if fleet.t.Failed() {
 		fleet.printMembers()
 	}
@@ -125,8 +126,8 @@
 	}
 }
 
-// printMembers shows whom each daemon believes dead or suspects.
-func (fleet *processes) printMembers() {
+// printMembers logs the members that each daemon knows, with their statuses.
+func (fleet *processFleet) printMembers() {
 	for vm := range fleet.running {
 		dump, err := fleet.state(vm)
 		fleet.t.Logf("%s: ready %v, version %d, %v", vm, dump.Ready, dump.Version, err)
@@ -136,7 +137,7 @@
 	}
 }
 
-func (fleet *processes) printLogs() {
+func (fleet *processFleet) printLogs() {
 	files, _ := filepath.Glob(filepath.Join(fleet.folder, "*.log"))
 	for _, file := range files {
 		body, _ := os.ReadFile(file)
@@ -144,8 +145,8 @@
 	}
 }
 
-// state reads the dump of one daemon.
-func (fleet *processes) state(vm berylspoke.VMID) (berylserve.Dump, error) {
+// state returns the dump of one daemon.
+func (fleet *processFleet) state(vm berylspoke.VMID) (berylserve.Dump, error) {
 	var dump berylserve.Dump
 	request, err := http.NewRequest(http.MethodGet, "http://"+fleet.settings[vm].OperatorAddress+"/state", nil)
 	if err != nil {
@@ -166,16 +167,17 @@
 }
 
 // waitState waits until the dump of a daemon meets a condition.
-func (fleet *processes) waitState(vm berylspoke.VMID, holds func(berylserve.Dump) bool) {
+func (fleet *processFleet) waitState(vm berylspoke.VMID, condition func(berylserve.Dump) bool) {
 	fleet.t.Helper()
 	require.Eventually(fleet.t, func() bool {
 		dump, err := fleet.state(vm)
-		return err == nil && holds(dump)
-	}, patience, 50*time.Millisecond, "daemon of %s", vm)
+		return err == nil && condition(dump)
+	}, waitTimeout, 50*time.Millisecond, "daemon of %s", vm)
 }
 
-// client returns a caller of an organisation; seeds are all VMs if none is given.
-func (fleet *processes) client(organisation berylspoke.OrganisationID, seeds ...berylspoke.VMID) *berylcall.Client {
+// client returns a client of an organisation, which uses all VMs as seeds if none is
+// given.
+func (fleet *processFleet) client(organisation berylspoke.OrganisationID, seeds ...berylspoke.VMID) *berylcall.Client {
 	options := berylcall.Options{Key: fleet.Plan.Key(organisation), Fixed: len(seeds) > 0}
 	for _, vm := range fleet.Plan.VMs() {
 		if len(seeds) == 0 {
@@ -188,7 +190,7 @@
 	return berylcall.New(options)
 }
 
-func (fleet *processes) publish(patch *berylconfig.Patch) {
+func (fleet *processFleet) publish(patch *berylconfig.Patch) {
 	fleet.t.Helper()
 	body, err := json.Marshal(patch)
 	require.NoError(fleet.t, err)
@@ -197,7 +199,7 @@
 
 func testContext(t *testing.T) context.Context {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), 2*patience)
+	ctx, cancel := context.WithTimeout(context.Background(), 2*waitTimeout)
 	t.Cleanup(cancel)
 	return ctx
 }
--- a/cmd/berylspoke/serve.go
+++ b/cmd/berylspoke/serve.go
@@ -19,13 +19,13 @@
 	"berylspoke/io/berylsettings"
 )
 
-// collectAt makes the garbage collector run when the heap has grown by this
-// percentage. Entry VMs are small, and declarations of many organisations leave
-// much garbage at each change; the default doubles what is resident.
-const collectAt = 35
+// gcPercent is the heap growth in percent after which the garbage collector runs.
+// Entry VMs are small, and declarations of many organisations leave much garbage at
+// each change; with the default of 100 the resident memory doubles.
+const gcPercent = 35
 
-// drainLimit bounds a planned stop.
-const drainLimit = 10 * time.Minute
+// drainTimeout bounds the drain after the first signal.
+const drainTimeout = 10 * time.Minute
 
 type serveCommand struct{ settings string }
 
@@ -34,9 +34,9 @@
 func (*serveCommand) Usage() string {
 	return `serve -settings FILE
 
-Runs one daemon until SIGTERM or SIGINT. The first signal drains it: it leaves
-the resolve answers, refuses new requests after a short notice and stops once
-the last request has ended. A second signal stops it at once.
+Runs one daemon until SIGTERM or SIGINT. The first signal drains it: it is no
+longer listed in resolve answers, rejects new requests after a short notice and
+stops once the last request has ended. A second signal stops it at once.
 
 `
 }
@@ -46,7 +46,7 @@
 }
 
 func (command *serveCommand) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	debug.SetGCPercent(collectAt)
+	debug.SetGCPercent(gcPercent)
 	settings, err := berylsettings.Load(command.settings)
 	if err != nil {
 		return fail(err)
@@ -63,7 +63,7 @@
 		return fail(err)
 	}
 	<-signals
-	ctx, cancel := context.WithTimeout(ctx, drainLimit)
+	ctx, cancel := context.WithTimeout(ctx, drainTimeout)
 	defer cancel()
 	go func() {
 		<-signals
--- a/cmd/berylspoke/stand.go
+++ b/cmd/berylspoke/stand.go
@@ -1,6 +1,6 @@
 package main
 
-// This file defines the command that runs one stand-in as a process.
+// This file defines the command that runs fakes as a process.
 
 import (
 	"context"
@@ -24,14 +24,14 @@
 }
 
 func (*standCommand) Name() string     { return "stand" }
-func (*standCommand) Synopsis() string { return "run a stand-in of the platform, an engine or a desk" }
+func (*standCommand) Synopsis() string { return "run a fake platform, engine or desk" }
 func (*standCommand) Usage() string {
 	return `stand -kind platform|engine|desk -address IP:PORT
 stand -kind deployment -deployment kitamine|parish -base N
 
-Runs one stand-in, or all stand-ins of a deployment with relays between its
-daemons, for tests and trials until it is signalled. A deployment takes
-POST /cut (packets between regions are dropped) and POST /mend at
+Runs one fake, or all fakes of a deployment with relays between its daemons, for
+tests and trials until SIGTERM or SIGINT. A deployment accepts POST /cut, which
+drops all packets between regions, and POST /mend, which ends that, at
 127.N.0.1:7001.
 
 `
@@ -40,9 +40,9 @@
 func (command *standCommand) SetFlags(flags *flag.FlagSet) {
 	flags.StringVar(&command.kind, "kind", "", "platform, engine, desk or deployment")
 	flags.StringVar(&command.address, "address", "127.0.0.1:7000", "`address` to listen on")
-	flags.StringVar(&command.deployment, "deployment", "kitamine", "kitamine or parish")
-	flags.IntVar(&command.scale, "scale", 1, "number of times the VMs and targets of the deployment")
-	flags.IntVar(&command.base, "base", 30, "second number of a deployment's loopback addresses")
+	flags.StringVar(&command.deployment, "deployment", "kitamine", "deployment whose fakes to run, kitamine or parish")
+	flags.IntVar(&command.scale, "scale", 1, "factor for the numbers of VMs and targets of the deployment")
+	flags.IntVar(&command.base, "base", 30, "second byte of a deployment's loopback addresses")
 	flags.IntVar(&command.slots, "slots", berylstand.DefaultEngineOptions().Slots, "batch size of an engine")
 }
 
@@ -87,18 +87,18 @@
 	}
 	plan = plan.Scaled(command.scale)
 	plan.Base = command.base
-	stands, err := berylfleet.StartStands(plan)
+	fakes, err := berylfleet.StartStands(plan)
 	if err != nil {
 		return fail(err)
 	}
-	defer stands.Close()
+	defer fakes.Close()
 	relays, err := berylfleet.StartRelays(plan)
 	if err != nil {
 		return fail(err)
 	}
 	defer relays.Close()
-	stands.Platform.SetVMs(relays.Advertised())
-	server, err := berylstand.Listen(fmt.Sprintf("127.%d.0.1:7001", plan.Base), faultControl(relays))
+	fakes.Platform.SetVMs(relays.Advertised())
+	server, err := berylstand.Listen(fmt.Sprintf("127.%d.0.1:7001", plan.Base), faultHandler(relays))
 	if err != nil {
 		return fail(err)
 	}
@@ -107,7 +107,7 @@
 	return subcommands.ExitSuccess
 }
 
-func faultControl(relays *berylfleet.Relays) http.Handler {
+func faultHandler(relays *berylfleet.Relays) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /cut", func(http.ResponseWriter, *http.Request) { relays.CutRegions() })
 	mux.HandleFunc("POST /mend", func(http.ResponseWriter, *http.Request) { relays.Mend() })
