--- a/core/berylgate/allowance.go
+++ b/core/berylgate/allowance.go
@@ -1,6 +1,6 @@
 package berylgate
 
-// This file defines how long a request may be expected to wait, given the usage of its
+// This file limits the expected time to first byte of a request by the usage of its
 // organisation.
 
 import (
@@ -11,37 +11,39 @@
 )
 
 const (
-	// maxObjectiveShare is the part of the objective that the expected time to first
-	// token may use. The rest covers the error of the model, whose spread at full load is
-	// about a tenth.
+	// maxObjectiveShare is the fraction of the objective that the expected time to
+	// first token may use. The rest covers the error of the model, whose spread at full
+	// load is about a tenth.
 	maxObjectiveShare = 0.9
-	// overuseExponent is how fast the part of the objective that an organisation may use
-	// falls with its overuse, and minObjectiveShare the part that always remains, as
-	// nothing queues while targets have room.
+	// overuseExponent sets how fast the fraction of the objective that an organisation
+	// may use falls with its overuse. minObjectiveShare is the lower bound, which still
+	// admits requests while targets have room, since nothing is queued there then.
 	overuseExponent   = 1.0
 	minObjectiveShare = 0.15
 )
 
-// allowance is how long a request may be expected to wait for its first byte.
+// allowance limits the expected time to first byte at which a request is sent.
 type allowance struct {
 	limitMillis float64
 	// idleLimitMillis is the limit at an idle target.
 	idleLimitMillis float64
-	// overuse is how many times its max-min level the organisation was served.
+	// overuse is the ratio of the organisation's service to its max-min level, at least
+	// one; it is infinite if the organisation may not start another request.
 	overuse float64
-	// overLevel says that the organisation is beyond its level. Its prompts leave their
-	// home target only for an idle one: prefilled elsewhere, they evict segments that
-	// other prompts share. capped says that the organisation was served all that it may
-	// get for now. That holds at idle engines too: what it gets there beyond the cap,
-	// others lack once they have demand.
+	// overLevel is set if the organisation is beyond its level. Its prompts then leave
+	// their home target only for an idle one, because a prefill elsewhere evicts
+	// segments that other prompts share. capped is set if the organisation has used up
+	// its cap. It is then refused at idle engines too, because others would lack what
+	// it gets there beyond the cap once they have demand.
 	overLevel, capped bool
 }
 
-// admits reports whether a candidate is good enough. A prompt so large that it exceeds
-// the limit on an unloaded target would never be served; it is sent to an idle one. An
-// organisation beyond its level but not capped may use an idle target that has the
-// prompt's shared segments cached up to the limit of all: with its own shorter limit, the
-// least served of those beyond their level would be refused at idle engines.
+// admits reports whether a request may be sent to a candidate. A prompt so large that
+// it exceeds the limit even on an unloaded target is sent to an idle one, as it would
+// otherwise never be served. For an organisation beyond its level but not capped, an
+// idle target that has the prompt's shared segments cached counts with the longer limit
+// of organisations within their level: with the shorter limit, even the least served
+// organisation beyond its level would be refused at idle engines.
 func (allowance allowance) admits(option candidate) bool {
 	idle := option.target.idle()
 	switch {
@@ -81,8 +83,9 @@
 	return inputWeight*request.Input + outputWeight*request.Output
 }
 
-// overuse returns how many times its max-min level an organisation was served: one for an
-// organisation within its level, infinity for one that may not start another request.
+// overuse returns the ratio of an organisation's service to its max-min level: one for
+// an organisation within its level, infinity for one that may not start another
+// request.
 func (gate *Gate) overuse(now time.Time, pool *pool, request *Request) float64 {
 	if pool.service.Engine == nil {
 		return 1
@@ -119,7 +122,7 @@
 	return allowances
 }
 
-// share returns the usage that a request's organisation is judged by.
+// share returns the demand, service, level and cap of a request's organisation.
 func (gate *Gate) share(now time.Time, request *Request) Share {
 	organisation := hashOf(string(request.Organisation))
 	return Share{
@@ -128,16 +131,16 @@
 	}
 }
 
-// maxCapOverrun is how many times its cap an organisation may have been served before all
-// its requests are refused. Throttling keeps it near the cap; this bound is for the
-// second until the sums show that it has begun to flood.
+// maxCapOverrun is the multiple of its cap up to which an organisation may be served
+// before all its requests are refused. Throttling keeps it near the cap; this bound
+// covers the second that passes before the sums show the start of a flood.
 const maxCapOverrun = 1.2
 
-// mayStart reports whether an organisation may start another request here under its cap.
-// If its demand exceeds the cap, each daemon admits the same part of its own demand, so
-// that all together keep to the cap. Limiting by served tokens alone, which are known a
-// second late, admitted all of the demand and rejected all of it by turns of some
-// seconds, and the rejected callers came back too late for their objective.
+// mayStart reports whether an organisation may start another request here under its
+// cap. If its demand exceeds the cap, each daemon admits the same fraction of its own
+// demand, so that together they keep to the cap. A limit on served tokens alone, which
+// are known a second late, alternated every few seconds between admitting and rejecting
+// all of the demand, and the rejected callers retried too late for their objective.
 func (gate *Gate) mayStart(now time.Time, organisation uint32) bool {
 	usage := gate.shares.usage(organisation)
 	own := usage.demand.now(now)
--- a/core/berylgate/choose.go
+++ b/core/berylgate/choose.go
@@ -11,14 +11,15 @@
 )
 
 const (
-	// recomputeWeight is how many times the prefill of uncached shared tokens counts in
-	// the cost beside the wait: capacity spent on computing them twice is lost to all.
+	// recomputeWeight is the weight of the prefill time of uncached shared tokens in
+	// the cost, relative to the expected time: capacity spent on computing them twice
+	// is lost to all organisations.
 	recomputeWeight = 20.0
 	// errorPenaltyMillis is the extra cost of a target that fails every request over one
 	// that fails none.
 	errorPenaltyMillis = 2000.0
-	// crossRegionPenaltyMillis is the extra cost of a target in another region beyond its
-	// network latency: the link is narrow and charged by volume.
+	// crossRegionPenaltyMillis is the extra cost of a target in another region in
+	// addition to its network latency: the link is narrow and charged by volume.
 	crossRegionPenaltyMillis = 10.0
 	// crossDomainPenaltyMillis is the same for a target in another failure domain of the
 	// region: traffic between them is charged too, at a third of the price.
@@ -37,8 +38,8 @@
 	unloadedMillis float64
 	expectedMillis float64
 	costMillis     float64
-	// cached and uncached are the numbers of shared tokens that are assumed to be in the
-	// target's KV cache and to be missing there.
+	// cached counts the shared tokens that are assumed to be in the target's KV cache,
+	// uncached the others.
 	cached, uncached berylspoke.Tokens
 }
 
@@ -129,7 +130,8 @@
 	return request.retryReserved
 }
 
-// newDecision returns the decision for a target with the inputs that led to it.
+// newDecision returns the decision to send a request to the best candidate, with the
+// values that it is based on.
 func (gate *Gate) newDecision(best candidate, prompt prompt, allowance allowance) Decision {
 	target := best.target
 	decision := Decision{
@@ -145,7 +147,8 @@
 	return decision
 }
 
-// countDemand counts a request once, before anything is decided about it.
+// countDemand counts a new request in its organisation's demand and in the retry
+// budget, whether or not it is sent.
 func (gate *Gate) countDemand(now time.Time, pool *pool, request *Request) {
 	request.tried = make(map[berylspoke.TargetID]bool)
 	pool.budget.Earn(retryEarnShare * gate.options.RetryRatio)
@@ -154,13 +157,13 @@
 	}
 }
 
-// retryEarnShare is the part of the retry ratio that each request earns. The rest is a
-// margin for requests that are counted at another daemon.
+// retryEarnShare is the fraction of the retry ratio that each request earns. The rest
+// is a margin for requests that are counted at another daemon.
 const retryEarnShare = 0.8
 
 // best returns the target with the lowest cost among those that are expected to answer
-// within the limit. If there is none, it takes the cheapest of the other usable targets,
-// and last of the unusable ones.
+// within the limit. If there is none, it returns the cheapest of the other usable
+// targets or, failing that, of the unusable ones.
 func (gate *Gate) best(now time.Time, pool *pool, request *Request, prompt prompt, allowance allowance) (candidate, bool) {
 	var best, late, unusable candidate
 	for _, target := range pool.targets {
@@ -181,8 +184,8 @@
 		best = late
 	}
 	if best.target == nil {
-		// All targets failed recently. Refusing everything until one is tried again would
-		// turn a fault that hits each target now and then into an outage.
+		// All targets failed recently. Refusing everything until one is tried again
+		// would turn an intermittent fault of the targets into an outage.
 		best = unusable
 	}
 	return best, best.target != nil
@@ -196,7 +199,8 @@
 	return one
 }
 
-// evaluate returns the cost of a request at one target.
+// evaluate returns a target as a candidate for a request, with its expected times and
+// its cost.
 func (gate *Gate) evaluate(now time.Time, target *target, request *Request, prompt prompt) candidate {
 	cached := prompt.total
 	if target != prompt.home {
--- a/core/berylgate/cold.go
+++ b/core/berylgate/cold.go
@@ -1,6 +1,6 @@
 package berylgate
 
-// This file limits the requests that are sent to cold targets.
+// This file limits the rate of requests to cold targets, those that started recently.
 
 import (
 	"time"
@@ -11,16 +11,16 @@
 )
 
 const (
-	// coldSustainedShare is the part of a cold target's rate that its senders use
-	// steadily. The rest is for the one request that each of them may send at once.
+	// coldSustainedShare is the fraction of a cold target's rate at which the budgets
+	// of its senders refill. The rest allows each sender a burst of one request.
 	coldSustainedShare = 0.7
-	// maxColdSenders bounds the daemons that send to one cold target.
+	// maxColdSenders is the maximum number of daemons that send to one cold target.
 	maxColdSenders = 4
 )
 
-// SetVMs sets the failure domains of the live daemons. They decide which daemons send to
-// a cold target: its rate holds over all daemons, and divided between all of a large
-// fleet it would be less than one request each.
+// SetVMs sets the failure domains of the live daemons. They determine the few daemons
+// that send to a cold target: its rate bounds all daemons together and, divided between
+// all daemons of a large fleet, would be less than one request each.
 func (gate *Gate) SetVMs(now time.Time, domains map[berylspoke.VMID]berylspoke.FailureDomain) {
 	gate.domains = domains
 	for _, target := range gate.sorted {
@@ -35,7 +35,7 @@
 	budget *berylroute.Budget
 }
 
-// updateCold handles a change of the time for which a target reports that it stays cold.
+// updateCold applies a change of the cold time that a target reports.
 func (gate *Gate) updateCold(now time.Time, target *target, previous time.Duration) {
 	if target.ColdFor == previous {
 		return
@@ -43,9 +43,9 @@
 	gate.markCold(now, target, now.Add(target.ColdFor))
 }
 
-// maybeRestarted marks a target cold that could not be reached: once it is back, its own
-// report of being cold is still on its way.
-func (gate *Gate) maybeRestarted(now time.Time, target *target) {
+// markUnreachableCold marks a target cold after it could not be reached. It may be
+// restarting, and it can be reached again before its own report of being cold arrives.
+func (gate *Gate) markUnreachableCold(now time.Time, target *target) {
 	pool := gate.pools[target.Service]
 	if pool == nil || pool.service.ColdFor == 0 {
 		return
@@ -62,7 +62,7 @@
 }
 
 // coldBudget returns the budget of this daemon for a target while it is cold. It starts
-// empty, so that an update of the members allows no second burst.
+// empty, so that a change of the members does not allow another burst.
 func (gate *Gate) coldBudget(now time.Time, target *target) *berylroute.Budget {
 	pool := gate.pools[target.Service]
 	if pool == nil || pool.service.ColdPerSecond <= 0 {
@@ -81,8 +81,8 @@
 	return nil
 }
 
-// nearestVMs returns the daemons in a target's failure domain, or else in its region, or
-// else all.
+// nearestVMs returns the live daemons in a target's failure domain, in its region if
+// there are none, or else all.
 func (gate *Gate) nearestVMs(target *target) []berylspoke.VMID {
 	var found [scopeCount][]berylspoke.VMID
 	for vm, domain := range gate.domains {
--- a/core/berylgate/cold_test.go
+++ b/core/berylgate/cold_test.go
@@ -32,8 +32,8 @@
 	return gates
 }
 
-// sendAll submits requests to all gates for the given time and returns the highest number
-// that the target got within one second.
+// sendAll submits requests to all gates for the given time and returns the highest
+// number of requests that the target got within one second.
 func sendAll(gates []*Gate, from time.Time, length time.Duration) int {
 	const step = 20 * time.Millisecond
 	var sent []time.Time
@@ -54,8 +54,8 @@
 	return highest
 }
 
-// Guards against sending a cold target more from all daemons together than its declared
-// rate, and against not using it at all.
+// Guards against daemons that together exceed the declared rate of a cold target, and
+// against leaving the target unused.
 func TestColdTargetIsSentAtMostItsRate(t *testing.T) {
 	now := time.Unix(0, 0)
 	target := berylspoke.Target{ID: "t-0", Service: drafts, Address: "10.0.0.1:1", FailureDomain: "d-2", Slots: 1_000, ColdFor: 3 * time.Second}
@@ -71,8 +71,8 @@
 	require.Greater(t, sendAll(gates, now, time.Second), 500, "once it is warm all daemons use it")
 }
 
-// Guards against all daemons sending to a crashed target at the moment of its return,
-// before its own report of being cold was received.
+// Guards against all daemons sending to a crashed target as soon as it is back, before
+// they receive its report of being cold.
 func TestUnreachableTargetIsMarkedCold(t *testing.T) {
 	now := time.Unix(0, 0)
 	target := berylspoke.Target{ID: "t-0", Service: drafts, Address: "10.0.0.1:1", FailureDomain: "d-2", Slots: 1_000}
--- a/core/berylgate/doc.go
+++ b/core/berylgate/doc.go
@@ -4,16 +4,16 @@
 // Engines serve requests in order of arrival and have no priorities, so a request that
 // was sent to an engine can be neither reordered nor recalled. The gate of each daemon
 // estimates the work queued at every target: its own dispatches count at once, those of
-// other daemons when they are reported, and the time to first token that its own requests
-// observe corrects the estimate. A request goes to the target with the lowest cost, which
-// covers the queue, the prefill of the part of its prompt that the engine has not cached,
-// and the network latency. It is sent only if its first token is then expected within the
-// part of its objective that its organisation may use. Otherwise it is refused at once,
-// and the caller can rely on the statement that it did not run, as no target has received
-// it.
+// other daemons when they are reported, and the time to first token of its own requests
+// corrects the estimate. A request goes to the target with the lowest cost, which
+// covers the queue, the prefill of the part of its prompt that the engine has not
+// cached, and the network latency. It is sent only if its first token is then expected
+// within the part of its objective that its organisation may use. Otherwise it is
+// refused at once, and the caller can rely on the statement that it did not run, as no
+// target has received it.
 //
-// Organisations that were served less than their max-min share may use nearly the whole
-// objective, others the less of it the further they are beyond their share. This keeps
-// queues short enough for organisations that are below their share, while capacity that
+// Organisations that were served less than their max-min level may use nearly the whole
+// objective, others less of it the further they are beyond their level. This keeps
+// queues short enough for organisations that are below their level, while capacity that
 // they leave unused serves others.
 package berylgate
--- a/core/berylgate/gate.go
+++ b/core/berylgate/gate.go
@@ -76,10 +76,11 @@
 	meanSlowdown float64
 }
 
-// Gate is the state that one daemon decides by.
+// Gate holds the state by which one daemon decides where requests are sent.
 type Gate struct {
 	options Options
-	// capacity is the throughput to share in tokens per second, zero if none is declared.
+	// capacity is the throughput that organisations share in tokens per second, zero if
+	// none is declared.
 	capacity berylspoke.Tokens
 	pools    map[berylspoke.ServiceID]*pool
 	targets  map[berylspoke.TargetID]*target
@@ -89,7 +90,7 @@
 	byHash map[uint32]*target
 	shares *shares
 	peers  []*peer
-	// collected is the usage of organisations that peers reported, for a large fleet.
+	// collected is the usage of organisations that peers reported in a large fleet.
 	collected collectedUsage
 	// live is the number of daemons known to be alive, maxDaemons the highest number ever
 	// known.
@@ -98,8 +99,8 @@
 	domains  map[berylspoke.VMID]berylspoke.FailureDomain
 	rng      *rand.Rand
 	lastTick time.Time
-	// lastReport is when the last report was made; urgent says that a dispatch since then
-	// should be reported at once.
+	// lastReport is when the last report was made; urgent is set if a dispatch since
+	// then should be reported at once.
 	lastReport time.Time
 	urgent     bool
 }
@@ -136,10 +137,10 @@
 	}
 }
 
-// newBudget returns a service's retry budget that holds the given units. Its bound holds
-// over all daemons together although they exchange nothing about it: each may save up its
-// part of the slack, and a daemon that starts has saved nothing, so that restarts add no
-// retries.
+// newBudget returns a service's retry budget that holds the given units. The bound on
+// retries holds for all daemons together without any messages: each daemon may
+// accumulate only its part of the slack, and it starts with nothing, so that restarts
+// add no retries.
 func (gate *Gate) newBudget(now time.Time, saved float64) *berylroute.Budget {
 	const slackShare = 0.7
 	capacity := slackShare * gate.options.RetrySlack / float64(max(gate.maxDaemons, minDaemons))
@@ -250,9 +251,9 @@
 // Sampled reports whether the fleet is so large that reports need not be frequent.
 func (gate *Gate) Sampled() bool { return gate.largeFleet() }
 
-// connections returns how many connections this daemon may hold to a target. An equal
-// part of the declared bound is always its own. All callers of a busy organisation may
-// connect to one daemon, so it may use more while the others use less; the target's slots
+// connections returns how many connections this daemon may hold to a target: at least
+// an equal part of the declared bound, and more while the other daemons use less, since
+// all callers of a busy organisation may connect to one daemon. The target's slots
 // bound what is admitted in any case.
 func (gate *Gate) connections(target *target) int {
 	const maxShare = 0.6
@@ -352,8 +353,8 @@
 	target.drain(now)
 	ratio := max(observedMillis-target.latencyMillis, 1) / max(attempt.expectedMillis-target.latencyMillis, 1)
 	if attempt.queueMillis > attempt.addedMillis+firstTokenMillis {
-		// Behind a long queue the error is that of the queue estimate, not of the
-		// slowdown.
+		// Behind a long queue, the error is attributed to the queue estimate, not to
+		// the slowdown.
 		ratio = 1
 	}
 	factor := min(ratio, 3) - 1
--- a/core/berylgate/gate_test.go
+++ b/core/berylgate/gate_test.go
@@ -58,9 +58,9 @@
 	}
 }
 
-// Daemons restart, cannot reach each other and see every request fail. Retries must still
-// keep to the bound of the whole fleet in every window, although daemons agree on nothing
-// about it.
+// Daemons restart, cannot reach each other and see every request fail. Retries must
+// still keep to the bound of the whole fleet in every window, although daemons exchange
+// no messages about them.
 func TestRetryBudgetHoldsOverAllDaemons(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const daemons, window = 8, 10 * time.Second
@@ -90,7 +90,7 @@
 				gates[i].Ended(now, request, Broken)
 			}
 			since := now.Add(-window)
-			if most := 0.2*float64(countSince(requests, since)) + 56; float64(countSince(retries, since)) > most {
+			if limit := 0.2*float64(countSince(requests, since)) + 56; float64(countSince(retries, since)) > limit {
 				t.Fatalf("%d retries in a window of %d requests", countSince(retries, since), countSince(requests, since))
 			}
 		}
@@ -136,7 +136,7 @@
 	}
 }
 
-// With one home in each region, two thirds of 460 requests a second with 200 shared
+// With one home in each region, two thirds of 460 requests per second with 200 shared
 // tokens and a 4 KB answer crossed between six failure domains, which is charged by
 // volume. Short shared segments have their home in the daemon's own domain, longer ones
 // in its region, the longest anywhere.
@@ -183,7 +183,7 @@
 }
 
 // Queues are estimated from reports that may be late, lost or duplicated. Whatever they
-// say, no work is queued at a target at which nothing waits; a daemon that believed
+// say, no work is queued at a target at which nothing waits; a daemon that assumed
 // otherwise refused requests while engines were idle.
 func TestQueueEstimateIsBoundedByPendingWork(t *testing.T) {
 	now := time.Unix(0, 0)
@@ -218,8 +218,8 @@
 }
 
 // All daemons lose power and return a second later, when their callers reconnect all at
-// once. Each daemon took the engines for idle until the second reports of the others, and
-// sent so much that first tokens took a second and more.
+// once. Each daemon assumed that the engines were idle until the second reports of the
+// others, and sent so much that first tokens took a second or more.
 func TestFirstReportsIncludePendingWork(t *testing.T) {
 	now := time.Unix(0, 0)
 	gate, peer := newGate(now, 1, 1, false), newGate(now, 2, 1, false)
@@ -233,9 +233,9 @@
 }
 
 // 73 daemons with 30 organisations each use 90 engines, and a daemon receives the loads
-// of some thirty of them a second. Forwarding all known loads to eight links cost each
-// daemon above 20 KB a second, seven times what control traffic may use. A report holds
-// only what engines reported to its sender since the last one.
+// of some thirty of them per second. Forwarding all known loads to eight links cost
+// each daemon more than 20 KB per second, seven times what control traffic may use. A
+// report holds only what engines reported to its sender since the last one.
 func TestReportsOfALargeFleetHoldOnlyNewLoads(t *testing.T) {
 	now := time.Unix(0, 0)
 	gate, peer := newGate(now, 1, 4, false), newGate(now, 2, 4, false)
--- a/core/berylgate/outcome.go
+++ b/core/berylgate/outcome.go
@@ -68,7 +68,7 @@
 		}
 	case Unreached:
 		target.recordFailure(now)
-		gate.maybeRestarted(now, target)
+		gate.markUnreachableCold(now, target)
 	case Broken:
 		target.recordFailure(now)
 	case Erred:
@@ -80,7 +80,7 @@
 }
 
 // undoSend removes the work of a request that the target did not run. An engine that
-// rejects a request is full whatever the model says, so the estimate of its queue rises
+// rejects a request is full even if its estimated queue is short, so the estimate rises
 // by a step.
 func (gate *Gate) undoSend(now time.Time, attempt *attempt, outcome Outcome) {
 	const stepMillis = 60.0
--- a/core/berylgate/parts.go
+++ b/core/berylgate/parts.go
@@ -12,18 +12,19 @@
 )
 
 const (
-	// minFleetHomeTokens is the number of shared tokens from which a prompt has one home
-	// in the fleet instead of one in each region: computing them again costs more than
-	// the network latency to the other region.
+	// minFleetHomeTokens is the minimum number of shared tokens for which a prompt has
+	// one home (the target that it is sent to by preference) in the fleet instead of
+	// one in each region: computing them again costs more than the network latency to
+	// the other region.
 	minFleetHomeTokens berylspoke.Tokens = 1000
 	// minRegionHomeTokens is the same for one home in a region instead of one in each
 	// failure domain. The traffic between domains of a request with 200 shared tokens and
 	// a 4 KB answer costs more than three prefills of the 200 tokens.
 	minRegionHomeTokens berylspoke.Tokens = 300
-	// minFetchTokens is the number of uncached shared tokens from which a target fetches
-	// them: setting up a transfer takes about as long as the prefill of that many.
-	// minCrossRegionFetchTokens is the same for a source in another region, whose answer
-	// takes a round trip.
+	// minFetchTokens is the minimum number of uncached shared tokens that a target
+	// fetches: setting up a transfer takes about as long as the prefill of that many.
+	// minCrossRegionFetchTokens is the same for a source in another region, where a
+	// transfer also takes a round trip between regions.
 	minFetchTokens            berylspoke.Tokens = 64
 	minCrossRegionFetchTokens berylspoke.Tokens = 2000
 )
@@ -56,10 +57,10 @@
 	return prompt
 }
 
-// homes returns the homes of a shared segment among the targets of the given regions: in
-// this failure domain, in this region and in the fleet, nil where a scope has no target.
-// Every daemon in the scope derives the same home from the list of targets, so a segment
-// is computed once without any message about it.
+// homes returns the homes of a shared segment among the targets of the given regions:
+// in this failure domain, in this region and in the fleet, nil where a scope has no
+// target. Every daemon in the scope derives the same home from the list of targets, so
+// a segment is computed only once, without any messages between daemons.
 func (gate *Gate) homes(pool *pool, regions berylspoke.Regions, segment uint64) [scopeCount]*target {
 	var found [scopeCount]*target
 	var top [scopeCount]uint64
@@ -80,10 +81,10 @@
 // cacheSource returns the target from which another one fetches the shared segments
 // that it lacks, nil if none is assumed to have them. Fetching the KV cache of a token
 // over the engines' network takes a tenth of the time of its prefill, and the target
-// computes what the source turns out to lack. The nearest target that this daemon sent
-// the same segments to precedes the homes, to which other daemons may have sent them. A
-// home fetches from the home of the wider scope, so that a new home need not compute all
-// prefixes that it takes over.
+// computes what the source turns out not to have. The nearest target to which this
+// daemon sent the same segments is preferred to the homes, to which other daemons may
+// have sent them. A home fetches from the home of the wider scope, so that a new home
+// does not recompute all prefixes that it takes over.
 func (gate *Gate) cacheSource(now time.Time, pool *pool, to *target, prompt prompt) *target {
 	uncached := prompt.total - to.cached(now, prompt.shared)
 	var nearest *target
--- a/core/berylgate/parts_test.go
+++ b/core/berylgate/parts_test.go
@@ -96,9 +96,9 @@
 	require.NotNil(t, from("t-4", "t-2", minCrossRegionFetchTokens))
 }
 
-// An engine joins, or one with many prefixes leaves, and another becomes their home. It
-// computed each of them again although engines of the region had them cached. A home of
-// this failure domain fetches from the home of the region.
+// When an engine joins, or one with many prefixes leaves, another engine becomes their
+// home. It computed each of them again although engines of the region had them cached.
+// The home in this failure domain must fetch from the home in the region.
 func TestHomesFetchFromTheHomeOfTheWiderScope(t *testing.T) {
 	now := time.Unix(0, 0)
 	gate := newSpreadGate(now)
--- a/core/berylgate/refusal.go
+++ b/core/berylgate/refusal.go
@@ -13,18 +13,18 @@
 	defaultRetryAfter = 300 * time.Millisecond
 	// maxRetryAfter bounds the retry delay.
 	maxRetryAfter = 3 * time.Second
-	// retryAfterShare is the part of its objective after which a refused caller may
+	// retryAfterShare is the fraction of its objective after which a refused caller may
 	// retry, overLevelRetryAfterShare the same if its organisation is beyond its level.
-	// Up to as much again is added at random. The objective runs from the caller's first
-	// attempt, so a retry after it can only be answered late.
+	// A random delay of up to the same length is added. The objective runs from the
+	// caller's first attempt, so a retry after it can only be answered late.
 	retryAfterShare          = 0.1
 	overLevelRetryAfterShare = 0.2
 )
 
 // refuseOverload refuses a request for which no target has room. The caller is told to
 // retry while it can still be answered in time, after a random delay so that callers
-// refused together do not retry together. If the queue is longer than that, the caller is
-// told when it should have drained.
+// refused together do not retry together. If the queue takes longer to drain than that
+// and the organisation is within its level, the delay covers the queue instead.
 func (gate *Gate) refuseOverload(request *Request, best candidate, allowance allowance) *berylspoke.Refusal {
 	share := retryAfterShare
 	if allowance.overLevel {
--- a/core/berylgate/refusal_test.go
+++ b/core/berylgate/refusal_test.go
@@ -9,11 +9,11 @@
 	"berylspoke"
 )
 
-// An organisation demands ten times its share, so most of its callers are refused at
-// first. Told to wait for two to four seconds, each came back after its objective of 0.4
-// to 0.8 s, and what its organisation was then admitted with was answered late, in place
-// of requests that could still be answered in time. Refused callers must come back in
-// time, and not all at one moment.
+// Guards against retry delays longer than the objective. With delays of two to four
+// seconds, refused callers of an organisation that demanded ten times its share retried
+// after their objective of 0.4 to 0.8 s, and their late answers took the place of
+// requests that could still be answered in time. Callers must retry in time, and not
+// all at once.
 func TestRefusedCallersReturnWithinTheirObjective(t *testing.T) {
 	now := time.Unix(0, 0)
 	gate := newGate(now, 1, 4, false)
--- a/core/berylgate/report.go
+++ b/core/berylgate/report.go
@@ -16,9 +16,9 @@
 	// reportMaxAge is the age at which a peer's report no longer counts: its daemon is
 	// gone or unreachable.
 	reportMaxAge = 2 * time.Second
-	// urgentMillis is the work of a dispatch that is reported at once. A request that
-	// another daemon unknowingly sends behind such a prompt waits that much longer than
-	// expected, which can be the whole objective of a short request.
+	// urgentMillis is the work above which a dispatch is reported at once. A request
+	// that another daemon sends behind such a prompt, not knowing of it, waits that
+	// much longer than expected, which can be the whole objective of a short request.
 	urgentMillis = 40.0
 	// minReportedRate is the demand in tokens per second below which an organisation is
 	// not reported.
@@ -165,7 +165,7 @@
 	gate.sumOthers(now)
 }
 
-// peer returns the state of one incarnation of a daemon, a new one if need be.
+// peer returns the state of one incarnation of a daemon, and creates it if needed.
 func (gate *Gate) peer(from berylspoke.VMID, incarnation berylspoke.Incarnation) *peer {
 	index, found := slices.BinarySearchFunc(gate.peers, from, func(peer *peer, vm berylspoke.VMID) int {
 		return strings.Compare(string(peer.vm), string(vm))
--- a/core/berylgate/share.go
+++ b/core/berylgate/share.go
@@ -10,9 +10,9 @@
 	"berylspoke"
 )
 
-// shareWindow is the time constant of the rates that shares are judged by. It is shorter
-// than the window over which shares are guaranteed, so that an organisation that begins
-// to flood is noticed within a second.
+// shareWindow is the time constant of the rates from which shares are computed. It is
+// shorter than the window over which shares are guaranteed, so that an organisation
+// that begins to flood is noticed within a second.
 const shareWindow = 1500 * time.Millisecond
 
 // rate is an exponentially weighted rate in tokens per second.
@@ -41,21 +41,21 @@
 	// organisation is empty until a request of the organisation was counted here.
 	organisation   berylspoke.OrganisationID
 	demand, served rate
-	// rejected is the part of the demand that was rejected before the gate saw it.
+	// rejected is the rate of the demand that was rejected before the gate saw it.
 	rejected rate
-	// cpuLimitedUntil is until when the organisation counts as limited by the CPU of this
-	// daemon's VM.
+	// cpuLimitedUntil is when the organisation stops counting as limited by the CPU of
+	// this daemon's VM.
 	cpuLimitedUntil time.Time
-	// throttled says that the organisation's demand exceeds its cap; credit is the number
-	// of tokens that it may then still start here, as of creditUpdated.
+	// throttled is set while the organisation's demand exceeds its cap; credit is then
+	// the number of tokens that it may still start here, as of creditUpdated.
 	throttled     bool
 	credit        float64
 	creditUpdated time.Time
 }
 
 // creditWindow is the time over which a throttled organisation may save up credit. It
-// covers a few of the largest requests, which must not depend on arriving at one
-// particular moment.
+// covers a few of the largest requests, so that their admission does not depend on the
+// moment at which they arrive.
 const creditWindow = 500 * time.Millisecond
 
 // throttle limits the organisation to rate tokens per second here and reports whether it
@@ -78,23 +78,23 @@
 }
 
 const (
-	// cpuLimitedShare is the part of its demand from which an organisation counts as
-	// limited by CPU if a VM rejects that much for lack of processor time.
+	// cpuLimitedShare is the minimum fraction of an organisation's demand that a VM
+	// must reject for lack of CPU time for the organisation to count as limited by CPU.
 	cpuLimitedShare = 0.15
 	// cpuLimitedFor is how long an organisation counts as limited by CPU after its
 	// requests were rejected: until two reports have reached the fleet.
 	cpuLimitedFor = 2 * usageInterval
 )
 
-// addDemand counts the tokens of a request that was read.
+// addDemand counts the tokens of a request, whether or not it is sent.
 func (usage *usage) addDemand(now time.Time, tokens berylspoke.Tokens) {
 	usage.demand.add(now, tokens)
 }
 
-// addRejected counts the tokens of requests that were rejected before the gate saw them.
-// Without them the organisation would seem to be served all its demand, and others would
-// get far ahead of it. If they are a small part of its demand in the fleet, this VM does
-// not limit it, as its callers connect to others too.
+// addRejected counts the tokens of requests that were rejected before the gate saw
+// them. Without them the organisation would seem to be served all its demand, and
+// others would be served far more than it. If they are a small fraction of its demand
+// in the fleet, this VM does not limit it, as its callers connect to other VMs too.
 func (usage *usage) addRejected(now time.Time, tokens berylspoke.Tokens, elsewhere float64) {
 	usage.demand.add(now, tokens)
 	usage.rejected.add(now, tokens)
@@ -113,33 +113,33 @@
 	// level is the max-min level, cap the most that an organisation beyond it may get.
 	level, cap float64
 	computed   time.Time
-	// cachedShare is the mean part of a request's tokens that was assumed to be cached,
-	// and sends the number of requests that were counted.
+	// cachedShare is the mean fraction of a request's tokens that was assumed to be
+	// cached, and sends the number of requests that were counted.
 	cachedShare float64
 	sends       int
 }
 
 const (
-	// underServed is the part of its demand below which the service of an organisation
-	// makes it count as backlogged in the fleet.
+	// underServed is the ratio of service to demand below which an organisation counts
+	// as backlogged in the fleet.
 	underServed = 0.6
-	// maxGap is how many times the service of an organisation that is limited by CPU
-	// others beyond their level may get, largeFleetMaxGap the same in a large fleet. All
-	// callers of the limited organisation connect to one small VM, whose processor bounds
-	// its service; others must not get far ahead of it for that. Users tolerate a factor
-	// of two over six seconds. In a large fleet sums are a second old, and a flood gets a
-	// quarter more than its cap before they show it.
+	// maxGap is the maximum ratio of the service of an organisation beyond its level to
+	// that of an organisation limited by CPU, largeFleetMaxGap the same in a large
+	// fleet. All callers of the limited organisation connect to one small VM, whose
+	// processor bounds its service; others must not be served far more because of that.
+	// Users tolerate a factor of two over six seconds. In a large fleet sums are a
+	// second old, and a flood gets a quarter more than its cap before they show it.
 	maxGap, largeFleetMaxGap = 1.7, 1.45
-	// overcommit is how many times the declared throughput the engines may be asked for.
-	// The declared throughput is a mean over the day; queues bound what is sent beyond
-	// it.
+	// overcommit is the multiple of the declared throughput that caps are computed
+	// from. The declared throughput is a mean over the day; queues bound what is sent
+	// beyond it.
 	overcommit = 1.3
-	// maxLead is how many times the service of the least served backlogged organisation
-	// the cap may be where that is more than the overcommitted level, as idle engines
-	// serve the least served first.
+	// maxLead is the ratio of the cap to the service of the least served backlogged
+	// organisation if that gives a higher cap than the overcommitted level. Idle
+	// engines then serve the least served first.
 	maxLead = 1.1
-	// cachedWeight is the weight of one request in the mean part of cached tokens, and
-	// maxCachedShare bounds that mean.
+	// cachedWeight is the weight of one request in the mean fraction of cached tokens,
+	// and maxCachedShare bounds that mean.
 	cachedWeight   = 0.01
 	maxCachedShare = 0.7
 )
@@ -148,7 +148,7 @@
 	return &shares{own: make(map[uint32]*usage), level: math.Inf(1), cap: math.Inf(1)}
 }
 
-// usageOf returns the usage of an organisation by its name.
+// usageOf returns the usage of an organisation and records its id there.
 func (shares *shares) usageOf(organisation berylspoke.OrganisationID) *usage {
 	found := shares.usage(hashOf(string(organisation)))
 	found.organisation = organisation
@@ -164,7 +164,7 @@
 	return found
 }
 
-// observeCached updates the mean part of cached tokens with a request that is sent.
+// observeCached updates the mean fraction of cached tokens with a request that is sent.
 func (shares *shares) observeCached(cached, tokens berylspoke.Tokens) {
 	part := float64(cached) / float64(max(tokens, 1))
 	shares.sends++
@@ -175,8 +175,8 @@
 // levelInterval is the time between two computations of the levels.
 const levelInterval = 100 * time.Millisecond
 
-// refreshLevels computes the max-min level and the cap in tokens per second if they are
-// due.
+// refreshLevels computes the max-min level and the cap in tokens per second again if
+// they are older than levelInterval.
 func (gate *Gate) refreshLevels(now time.Time) {
 	shares := gate.shares
 	if now.Sub(shares.computed) < levelInterval {
@@ -198,8 +198,7 @@
 	}
 }
 
-// maxGap returns how many times the service of an organisation limited by CPU others may
-// get.
+// maxGap returns the constant that applies to the size of the fleet.
 func (gate *Gate) maxGap() float64 {
 	if gate.largeFleet() {
 		return largeFleetMaxGap
@@ -207,12 +206,13 @@
 	return maxGap
 }
 
-// capOf returns the most that an organisation beyond its level may get. It is the max-min
-// level of what engines are expected to serve, the same for all organisations and as
-// steady as their demand. It does not follow the service of the least served: an
-// organisation that is throttled to a cap gets somewhat less than the cap, so such a cap
-// would sink by itself and stay low while engines are idle. Only for an organisation that
-// is limited by its VM's CPU are others limited to a multiple of its service.
+// capOf returns the most that an organisation beyond its level may get. It is the
+// max-min level of what engines are expected to serve, the same for all organisations
+// and as steady as their demand. It does not fall with the service of the least served:
+// an organisation that is throttled to a cap gets somewhat less than the cap, so such a
+// cap would decrease steadily and stay low while engines are idle. Only for an
+// organisation that is limited by its VM's CPU are others limited to a multiple of its
+// service.
 func capOf(level, overcommitted, gap float64, totals map[uint32]total) float64 {
 	leastServed, leastLimited := math.Inf(1), math.Inf(1)
 	for _, total := range totals {
--- a/core/berylgate/target.go
+++ b/core/berylgate/target.go
@@ -13,8 +13,8 @@
 
 const (
 	// firstPause is how long a target is avoided after a failure. It doubles with each
-	// consecutive failure up to maxPause, which is what a crashed target needs to return
-	// or to vanish from the list of targets (three heartbeats).
+	// consecutive failure up to maxPause, the time in which a crashed target restarts
+	// or is removed from the list of targets (three heartbeats).
 	firstPause = 300 * time.Millisecond
 	maxPause   = 4 * time.Second
 	// errorWeight is the weight of one outcome in the error rate: about the last twenty
@@ -23,8 +23,8 @@
 	// slowdownWeight is the weight of one observation in a target's slowdown.
 	slowdownWeight = 0.08
 	// meanSlowdownWeight is the same for the mean slowdown of a service, and
-	// maxMeanSlowdown bounds that mean: it depends on the kind of the engines, not on
-	// their health.
+	// maxMeanSlowdown bounds that mean, which depends on the type of the engines, not
+	// on their health.
 	meanSlowdownWeight = 0.004
 	maxMeanSlowdown    = 2.0
 	minSlowdown        = 0.5
@@ -33,14 +33,14 @@
 	// mean of its service. A target that was slow gets few requests, so their answers
 	// alone would never show that it recovered.
 	slowdownDecay = 4 * time.Second
-	// queueGain is the part of the difference between the expected and the observed queue
-	// by which the estimate is corrected. A full correction would follow the noise of
-	// single engine steps.
+	// queueGain is the fraction of the difference between the expected and the observed
+	// queue by which the estimate is corrected. A full correction would follow the
+	// noise of single engine steps.
 	queueGain = 0.5
 	// minSilence is the shortest silence that makes a target suspect.
 	minSilence = 700 * time.Millisecond
-	// silenceFactor is how many times the expected time to first byte may pass in
-	// silence.
+	// silenceFactor is the multiple of the expected time to first byte after which a
+	// silent target is suspect.
 	silenceFactor = 3
 	// initialMeanMillis is the assumed time of a request at a plain service before any
 	// ended.
@@ -132,9 +132,8 @@
 // hashOf returns the hash by which reports identify a target or an organisation.
 func hashOf(name string) uint32 { return uint32(xxhash.Sum64String(name)) }
 
-// drain advances the estimate of the queue to the given time. Whatever the model says,
-// the queue is no longer than the work that was sent there and whose answers have not
-// started.
+// drain advances the estimate of the queue to the given time. Whatever the model
+// predicts, the queue is bounded by the work whose answers have not started.
 func (target *target) drain(now time.Time) {
 	elapsed := now.Sub(target.asOf)
 	if elapsed <= 0 {
@@ -156,8 +155,8 @@
 	return *target.meanSlowdown
 }
 
-// observeLoad applies the load that a target reported with an answer. Requests waiting
-// there beyond all that the daemons reported were sent by a daemon that is gone.
+// observeLoad applies the load that a target reported with an answer. Waiting requests
+// in excess of those that daemons reported are attributed to a daemon that is gone.
 func (target *target) observeLoad(now time.Time, reported berylspoke.EngineLoad) {
 	if reported.Slots > 0 {
 		target.slots = reported.Slots
@@ -170,7 +169,7 @@
 	}
 }
 
-// load is what a target reported of itself at a time.
+// load is the load that a target reported, with the time of the report.
 type load struct {
 	at               time.Time
 	running, waiting int
@@ -195,8 +194,8 @@
 	target.backlogMillis, target.unreportedMillis = queueMillis, queueMillis
 }
 
-// minRequestMillis is the least work assumed for a waiting request, also before any was
-// sent.
+// minRequestMillis is the minimum work assumed for a waiting request; the mean work is
+// zero before any was sent.
 const minRequestMillis = 20.0
 
 // loadMaxAge is how long a reported load counts for the occupancy of a target.
@@ -221,7 +220,8 @@
 	return others
 }
 
-// occupied returns the number of requests of all daemons that run or wait there.
+// occupied returns the number of requests of all daemons that run or wait at the
+// target.
 func (target *target) occupied() int { return target.running + target.others.running }
 
 // expectedMillis returns the expected time to first byte of a request that adds the given
@@ -255,14 +255,16 @@
 	return target.latencyMillis + target.meanMillis
 }
 
-// idle reports whether nothing is queued there and less than half of the slots are used.
+// idle reports whether next to nothing is queued at the target and less than half of
+// its slots are used.
 func (target *target) idle() bool {
 	const negligibleMillis = 10.0
 	return target.backlogMillis < negligibleMillis && 2*target.occupied() < target.slots
 }
 
 // full reports whether another request would have to wait for a slot or would evict
-// others from the engine's KV cache. A plain service is full at three requests a slot.
+// others from the engine's KV cache. A plain service is full at three requests per
+// slot.
 func (target *target) full(needed berylspoke.Tokens) bool {
 	if target.engine == nil {
 		return target.occupied() >= 3*target.slots
@@ -278,8 +280,8 @@
 // usable reports whether a request may be sent to the target.
 func (target *target) usable(now time.Time) bool { return !target.Leaving && target.responsive(now) }
 
-// responsive reports whether the target is believed to answer; a draining target does for
-// a while.
+// responsive reports whether the target is neither suspect nor paused after a failure.
+// A draining target remains responsive for a while.
 func (target *target) responsive(now time.Time) bool {
 	return !target.suspect && !now.Before(target.pausedUntil)
 }
@@ -308,14 +310,15 @@
 	}
 }
 
-// checkSilence marks the target suspect while requests wait there in silence for much
-// longer than expected: an engine that hangs accepts connections and sends nothing, and
-// only this shows it before the callers' time limits.
+// checkSilence marks the target suspect while a request has waited for its answer for
+// much longer than expected and the target has not answered any other recently. An
+// engine that hangs accepts connections and sends nothing; without this check it would
+// be detected only by the callers' timeouts.
 func (target *target) checkSilence(now time.Time) {
 	target.suspect = false
 	for attempt := range target.attempts {
-		patience := max(minSilence, silenceFactor*duration(attempt.expectedMillis))
-		if !attempt.answerStarted && now.Sub(attempt.sentAt) > patience && target.lastAnswer.Before(attempt.sentAt.Add(patience/2)) {
+		maxSilence := max(minSilence, silenceFactor*duration(attempt.expectedMillis))
+		if !attempt.answerStarted && now.Sub(attempt.sentAt) > maxSilence && target.lastAnswer.Before(attempt.sentAt.Add(maxSilence/2)) {
 			target.suspect = true
 			return
 		}
--- a/core/berylgate/usage.go
+++ b/core/berylgate/usage.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	// usageInterval is the time between two usage reports in a large fleet. Usage takes
-	// three reports from one daemon to all, so the sum is a second old on average, less
-	// than the window that rates are means over.
+	// usageInterval is the time between two usage reports in a large fleet. Usage
+	// passes through three reports to reach all daemons, so the sum is a second old on
+	// average, less than the window over which rates are averaged.
 	usageInterval = 700 * time.Millisecond
 	// usageMaxAge is the age at which received usage no longer counts: two reports were
 	// lost, or their sender is gone.
 	usageMaxAge = 3*usageInterval + 200*time.Millisecond
-	// maxOrganisations bounds the organisations in one report to those with the highest
-	// demand. The others are far below the level that all may have.
+	// maxOrganisations is the maximum number of organisations in one report, those with
+	// the highest demand. The demand of the others is far below the level.
 	maxOrganisations = 128
-	// minDemandShare is the part of the throughput that an organisation must demand to be
-	// listed in the fleet's sum. All others together are one figure: none of them can be
-	// beyond its share.
+	// minDemandShare is the fraction of the throughput that an organisation must demand
+	// to be listed in the fleet's sum. The others are summed up in one figure, since
+	// none of them can be beyond its share.
 	minDemandShare = 0.01
 )
 
@@ -53,9 +53,10 @@
 
 var _ berylspoke.Message = Usage{}
 
-// collectedUsage is the usage received from peers, by its sender and its extent. Sampling
-// a few peers would not do: all callers of an organisation may connect to one daemon or
-// one failure domain, and a sample misses them or counts them many times over.
+// collectedUsage is the usage received from peers, by its extent and its sender. All
+// daemons are summed up: since all callers of an organisation may connect to one daemon
+// or one failure domain, a sample of the peers would miss them or count them many times
+// over.
 type collectedUsage struct {
 	daemons map[berylspoke.VMID]receivedUsage
 	domains map[berylspoke.FailureDomain]receivedUsage
@@ -63,7 +64,8 @@
 	// reportedOwn is this daemon's own usage as last reported, which is part of the
 	// fleet's sum.
 	reportedOwn receivedUsage
-	// collects says that this daemon sums up its failure domain.
+	// collects is set if this daemon is a collector, which sums up the usage of its
+	// failure domain.
 	collects bool
 	due      time.Time
 }
@@ -114,8 +116,8 @@
 	}
 }
 
-// ownUsage returns the usage of organisations at this daemon and drops those with hardly
-// any demand.
+// ownUsage returns the usage of organisations at this daemon and drops those with a
+// demand below minReportedRate.
 func (gate *Gate) ownUsage(now time.Time) map[uint32]total {
 	own := make(map[uint32]total, len(gate.shares.own))
 	for organisation, usage := range gate.shares.own {
--- a/core/berylgate/usage_test.go
+++ b/core/berylgate/usage_test.go
@@ -11,8 +11,8 @@
 	"berylspoke"
 )
 
-// usageFleet is a fleet of gates in several failure domains, the first gate of each
-// domain its collector, that exchange usage as the edge daemons do.
+// usageFleet is a set of gates in several failure domains that exchange usage as
+// daemons do. The first gate of each domain is its collector.
 type usageFleet struct{ gates []*Gate }
 
 func newUsageFleet(now time.Time, domains, perDomain int) *usageFleet {
@@ -55,8 +55,8 @@
 	}
 }
 
-// exchangeRounds makes all gates report several times at one moment, so that rates do not
-// change meanwhile.
+// exchangeRounds makes all gates report several times without advancing the time, so
+// that rates do not change.
 func (fleet *usageFleet) exchangeRounds(now time.Time, count int) {
 	for range count {
 		for _, gate := range fleet.gates {
@@ -96,11 +96,11 @@
 	}
 }
 
-// All callers of one organisation connect to one small VM, which rejects most of them
-// unread, and another organisation is served at all other daemons. The service of the
-// first looks like all its demand, as it does while the VM is not overloaded between two
-// rounds. It must count as backlogged, and the other is then limited to half as much
-// again once it is beyond its level.
+// All callers of one organisation connect to one small VM, which rejects most of their
+// requests unread; another organisation is served at all daemons. Nearly all of the
+// first one's parsed requests are served, as they are while the VM is not overloaded
+// between two rounds. It must still count as backlogged, so that the other is limited
+// to largeFleetMaxGap times its service.
 func TestGapIsCappedWhenRequestsAreRejectedUnread(t *testing.T) {
 	now := time.Unix(0, 0)
 	fleet := newUsageFleet(now, 6, 12)
@@ -117,14 +117,14 @@
 	small.Rejected(now, map[berylspoke.OrganisationID]berylspoke.Tokens{"pinned": 300_000})
 	fleet.exchangeRounds(now, 3)
 	seen := fleet.gates[3]
-	require.InEpsilon(t, largeFleetMaxGap*190_000/shareWindow.Seconds(), capSeen(now, seen), 0.01)
+	require.InEpsilon(t, largeFleetMaxGap*190_000/shareWindow.Seconds(), currentCap(now, seen), 0.01)
 	require.True(t, math.IsInf(seen.overuse(now, seen.pools[drafts], newRequest(now, "large")), 1))
 	require.InEpsilon(t, 500_000/shareWindow.Seconds(), seen.totals(now)[pinned].demand, 0.01, "rejected requests count as demand")
 }
 
-// Guards against missing an organisation that is limited by a CPU-starved VM because its
-// neighbour there is larger, and against counting one although nearly all of its callers
-// connect to other VMs.
+// Guards against overlooking an organisation that is limited by a CPU-starved VM
+// because a larger one is limited there too, and against counting one although nearly
+// all of its callers connect to other VMs.
 func TestEveryCPULimitedOrganisationCounts(t *testing.T) {
 	now := time.Unix(0, 0)
 	gate := newUsageFleet(now, 1, 1).gates[0]
@@ -145,19 +145,19 @@
 	require.False(t, now.Before(gate.shares.usage(hashOf("elsewhere")).cpuLimitedUntil), "its callers connect to other VMs too")
 }
 
-// capSeen returns the cap that a gate computes now.
-func capSeen(now time.Time, gate *Gate) float64 {
+// currentCap returns the cap that a gate computes now.
+func currentCap(now time.Time, gate *Gate) float64 {
 	gate.shares.computed = time.Time{}
 	gate.refreshLevels(now)
 	return gate.shares.cap
 }
 
 // One organisation is limited to the cap because all callers of another connect to one
-// small VM. Its own callers connect to all daemons and demand three times the cap.
-// Limited by its service, which is known a second late, it was admitted whole and
-// rejected whole by turns of two seconds: between 15,000 and 406,000 tokens per second
-// around a cap of 172,000. Once the first flood has passed it must get nearly the cap in
-// each second.
+// small VM. Its own callers connect to all daemons and demand three times the cap. A
+// limit on its service, which is known a second late, admitted and rejected all of its
+// requests in turns of two seconds: between 15,000 and 406,000 tokens per second around
+// a cap of 172,000. Once the first flood has passed it must get nearly the cap in each
+// second.
 func TestCappedOrganisationIsServedEvenly(t *testing.T) {
 	now := time.Unix(0, 0)
 	fleet := newUsageFleet(now, 6, 4)
@@ -189,7 +189,7 @@
 // Two organisations are backlogged in a fleet of eight, both beyond the level, one with
 // three times the service of the other. The least served one was refused at an idle
 // engine because its limit was a third of the objective, and the other was admitted
-// there. It must be the other way round.
+// there. The least served one must be admitted and the other refused.
 func TestIdleEnginesServeTheLeastServedFirst(t *testing.T) {
 	now := time.Unix(0, 0)
 	gate := newGate(now, 1, 1, false)
@@ -219,8 +219,8 @@
 }
 
 // The callers of one organisation connect to all daemons, those of another all to one;
-// both flood beyond the cap at times. The second one's daemon knows its service at once,
-// the other daemons know that of the first a second late. Over any six seconds neither
+// both flood beyond the cap at times. The service of the second is known to its daemon
+// at once, that of the first to each daemon a second late. Over any six seconds neither
 // may get less than half of the other's service, or of its own demand.
 func TestFloodsOfAllDaemonsAndOfOneAreServedAlike(t *testing.T) {
 	const rounds, second, window = 30, 20, 6
@@ -267,15 +267,15 @@
 			}
 		}
 		for one, other := range map[string]string{"spread": "pinned", "pinned": "spread"} {
-			least := min(demandInWindow[one], servedInWindow[other]) / 2
-			require.GreaterOrEqual(t, servedInWindow[one]+3*40_000, least, "%s from second %d", one, from)
+			minimum := min(demandInWindow[one], servedInWindow[other]) / 2
+			require.GreaterOrEqual(t, servedInWindow[one]+3*40_000, minimum, "%s from second %d", one, from)
 		}
 	}
 }
 
-// Two organisations are throttled to the cap, and queues refuse a third of what they may
-// start. A cap of 1.45 times the service of the least served sank with it round by round
-// to the declared level, while engines were idle.
+// Two organisations are throttled to the cap, and queues refuse a third of what they
+// may start. A cap of 1.45 times the service of the least served decreased with it in
+// each round, down to the declared level, while engines were idle.
 func TestCapDoesNotSinkByItself(t *testing.T) {
 	const level, overcommitted, servedShare = 100_000, 180_000, 0.65
 	leastServed := 150_000.0
