--- a/core/berylroute/budget.go
+++ b/core/berylroute/budget.go
@@ -13,8 +13,8 @@
 	last             time.Time
 }
 
-// NewBudget returns a full budget of the given capacity that refills by perSecond units a
-// second.
+// NewBudget returns a full budget of the given capacity that refills at perSecond units
+// per second.
 func NewBudget(now time.Time, perSecond, capacity float64) *Budget {
 	return &Budget{credit: capacity, capacity: capacity, perSecond: perSecond, last: now}
 }
--- a/core/berylroute/placement.go
+++ b/core/berylroute/placement.go
@@ -83,7 +83,7 @@
 }
 
 // spread assigns each target to the VM with the highest score that is not full yet. The
-// bound keeps the cost of the daemon with the most targets near the mean; plain
+// bound keeps the load of the daemon with the most targets near the mean; plain
 // rendezvous hashing gives some daemon three times the mean.
 func spread(targets []berylspoke.TargetID, vms []berylspoke.VMID) map[berylspoke.TargetID]berylspoke.VMID {
 	lessors := make(map[berylspoke.TargetID]berylspoke.VMID, len(targets))
@@ -107,7 +107,7 @@
 	return lessors
 }
 
-// spreadFactor is how many times the mean a daemon's number of targets may be.
+// spreadFactor bounds the number of a daemon's targets, as a multiple of the mean.
 const spreadFactor = 1.1
 
 // arrange derives the lists of one entry daemon from the lessors of all targets.
@@ -124,11 +124,11 @@
 		}
 	}
 	preference := "entry " + string(fleet.Self)
-	lessors.Local = berylmember.Ranked(preference, names(local), len(local))
-	lessors.Remote = berylmember.Ranked(preference, names(remote), len(remote))
+	lessors.Local = berylmember.Ranked(preference, keys(local), len(local))
+	lessors.Remote = berylmember.Ranked(preference, keys(remote), len(remote))
 }
 
-func names(set map[berylspoke.VMID]bool) []berylspoke.VMID {
+func keys(set map[berylspoke.VMID]bool) []berylspoke.VMID {
 	list := make([]berylspoke.VMID, 0, len(set))
 	for vm := range set {
 		list = append(list, vm)
@@ -137,7 +137,7 @@
 }
 
 // Window returns the count lessors to request slots from in the given round: the
-// preferred ones, but in the last place one of the others, which changes from round to
+// preferred ones, except that the last is one of the others and changes from round to
 // round. An entry daemon with a backlog thus finds free capacity that its preferred
 // lessors lack.
 func Window(lessors []berylspoke.VMID, count int, round uint64) []berylspoke.VMID {
--- a/core/berylroute/route_test.go
+++ b/core/berylroute/route_test.go
@@ -57,7 +57,8 @@
 	}
 }
 
-// An outage fails every attempt; retries stay a tenth of the requests.
+// Retries must stay within a tenth of the requests in an outage that fails every
+// attempt.
 func TestRetriesStayWithinTheBudget(t *testing.T) {
 	now := time.Unix(0, 0)
 	budget := NewBudget(now, 0, 20)
