--- a/core/beryladmission/queue.go
+++ b/core/beryladmission/queue.go
@@ -24,8 +24,8 @@
 	// intervalWeight is the weight of one observation in the moving average of the
 	// interval between two admissions.
 	intervalWeight = 0.1
-	// maxIdleFlows is the number of idle flows, those without waiting requests, from
-	// which on they are pruned.
+	// maxIdleFlows is the number of idle flows (those without waiting requests) at
+	// which they are pruned.
 	maxIdleFlows = 1024
 	// rejectedWeight is the weight of one decision in a flow's rejected fraction, and
 	// rejectedThreshold the fraction above which the flow counts as mostly rejected.
@@ -233,7 +233,7 @@
 	return change
 }
 
-// reset discards the flows and their tags, which count only within one overload.
+// reset discards the flows and their tags, which apply only during one overload.
 func (queue *Queue) reset() {
 	clear(queue.flows)
 	queue.virtualTime, queue.meanInterval = 0, 0
