--- a/core/berylfeed/feed.go
+++ b/core/berylfeed/feed.go
@@ -14,7 +14,7 @@
 	// kept. Writers that are alive write again about two seconds after the store returns.
 	Grace = 2200 * time.Millisecond
 	// lapseWindow is the time after the end of an outage in which the removal of an
-	// item is still attributed to it.
+	// item is still attributed to the outage.
 	lapseWindow = 2500 * time.Millisecond
 	// maxRemoved bounds the removed keys that are remembered. They are few (one
 	// for each start of a target), and the oldest are of no use to peers.
--- a/core/berylfeed/feed_test.go
+++ b/core/berylfeed/feed_test.go
@@ -54,10 +54,10 @@
 	return items
 }
 
-// Watches, lists and deltas of peers arrive in any order, and peers are behind or ahead.
-// Guards against a key that reverts to an older revision, which would bring back an old
-// route or a dropped key for callers. A feed that is complete up to the last revision
-// must equal the store.
+// Watches, lists and deltas of peers arrive in any order, and peers are behind or
+// ahead. Guards against a key that reverts to an older revision, which would give
+// callers an old route or a removed API key again. A feed that is complete up to the
+// last revision must equal the store.
 func TestFeedsAgreeWithTheStoreAndNeverGoBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(0, 0)
@@ -135,8 +135,9 @@
 	require.Empty(t, items, "without an outage a removed item has no grace period")
 }
 
-// Guards against requests to a target that left without notice. A daemon whose own link to
-// the store was cut took the removal for a lapse in an outage of the store.
+// Guards against requests to a target that left without notice. A daemon whose own link
+// to the store was cut attributed the removal to an outage of the store and kept the
+// target for the grace period.
 func TestRemovalThatOthersSawHasNoGrace(t *testing.T) {
 	now := time.Unix(0, 0)
 	feed := New()
--- a/core/berylfeed/messages.go
+++ b/core/berylfeed/messages.go
@@ -83,7 +83,8 @@
 	if delta.Full {
 		present := make(map[string]bool, len(delta.Changes))
 		for _, change := range delta.Changes {
-			// A removal may concern an earlier item than the one that is here.
+			// The peer's removal may be older than the item here; even so, the key is
+			// absent at delta.AsOf.
 			present[change.Item.Key] = !change.Item.Deleted
 		}
 		changed = feed.remove(now, present, delta.AsOf) || changed
