--- a/interfaces.go
+++ b/interfaces.go
@@ -72,8 +72,8 @@
 	Body   []byte
 }
 
-// LoadReport is the load that a target reports. It is older than its arrival by the lag
-// of the reports.
+// LoadReport is the load that a target reports. It is outdated by the reporting lag
+// when it arrives.
 type LoadReport struct {
 	Running int
 	Waiting int
