--- a/catalog.go
+++ b/catalog.go
@@ -30,20 +30,20 @@
 // may cache their prompts; nil allows all regions.
 type Regions []Region
 
-// Allow reports whether a region is in the set.
-func (regions Regions) Allow(region Region) bool {
+// Allows reports whether a region is in the set.
+func (regions Regions) Allows(region Region) bool {
 	return regions == nil || slices.Contains(regions, region)
 }
 
-// And returns the regions that both sets allow. If there are none, the result is empty
-// but not nil, since nil would allow all.
-func (regions Regions) And(other Regions) Regions {
+// Intersect returns the regions that both sets allow. If there are none, the result is
+// empty but not nil, since nil would allow all.
+func (regions Regions) Intersect(other Regions) Regions {
 	if regions == nil {
 		return other
 	}
 	both := make(Regions, 0, len(regions))
 	for _, region := range regions {
-		if other.Allow(region) {
+		if other.Allows(region) {
 			both = append(both, region)
 		}
 	}
@@ -73,8 +73,8 @@
 	// Objective is the service level objective for the time to the first byte. A later
 	// answer does not count in full.
 	Objective time.Duration
-	// Attempts is the maximum number of targets that a request is sent to.
-	Attempts int
+	// MaxAttempts is the maximum number of targets that a request is sent to.
+	MaxAttempts int
 	// Priority ranks routes; zero is the highest priority.
 	Priority int
 	// Shares lists the services that serve the route.
@@ -87,8 +87,8 @@
 type EngineSpec struct {
 	// Slots is the number of requests that an engine runs concurrently.
 	Slots int
-	// Memory is the capacity of an engine's KV cache.
-	Memory Tokens
+	// CacheCapacity is the capacity of an engine's KV cache.
+	CacheCapacity Tokens
 	// EventTokens is the number of generated tokens in one event of a stream.
 	EventTokens Tokens
 }
@@ -103,9 +103,9 @@
 	// ColdFor is how long a target stays cold after its start; zero means that it is
 	// never cold.
 	ColdFor time.Duration
-	// ColdPerSecond is the maximum request rate of a cold target, summed over all
+	// ColdRequestsPerSecond is the maximum request rate of a cold target, summed over all
 	// daemons.
-	ColdPerSecond float64
+	ColdRequestsPerSecond float64
 }
 
 // Limits bounds what callers may send.
@@ -144,12 +144,12 @@
 	Address       string
 	FailureDomain FailureDomain
 	Slots         int
-	// Leaving targets are draining and accept no new requests.
-	Leaving bool
+	// Draining targets accept no new requests.
+	Draining bool
 	// ColdFor is the cold time that remained when the target published it.
 	ColdFor time.Duration
-	// Born distinguishes successive runs under one id.
-	Born int64
+	// Started distinguishes successive runs under one id.
+	Started int64
 }
 
 // Revision is a position in the store's history of changes.
--- a/cmd/berylspoke/config_test.go
+++ b/cmd/berylspoke/config_test.go
@@ -195,7 +195,7 @@
 				var failure *berylcall.Failure
 				require.ErrorAs(t, err, &failure)
 				require.Equal(t, berylspoke.NotRun, failure.Verdict)
-				require.Equal(t, berylspoke.ReasonOrganisation, failure.Reason)
+				require.Equal(t, berylspoke.ReasonOrganisationLimit, failure.Reason)
 				require.Positive(t, failure.RetryAfter)
 				refused++
 			default:
--- a/core/beryladmission/queue.go
+++ b/core/beryladmission/queue.go
@@ -56,8 +56,8 @@
 	Overload
 	// OverCap means that the organisation has used up its allowance.
 	OverCap
-	// Causes is the number of causes.
-	Causes
+	// CauseCount is the number of causes.
+	CauseCount
 )
 
 // Change lists the requests that a call decided on, in order.
@@ -199,19 +199,19 @@
 	return change
 }
 
-// Begin takes a slot for a request that was admitted before it was parsed. It does not
+// Acquire takes a slot for a request that was admitted before it was parsed. It does not
 // wait, so the slots taken may exceed the number of slots.
-func (queue *Queue) Begin() { queue.inUse++ }
+func (queue *Queue) Acquire() { queue.inUse++ }
 
-// Done frees the slot of a request that was forwarded or abandoned.
-func (queue *Queue) Done() { queue.inUse-- }
+// Release frees the slot of a request that was forwarded or abandoned.
+func (queue *Queue) Release() { queue.inUse-- }
 
-// Ready reports whether Next would admit a request.
+// Ready reports whether AdmitNext would admit a request.
 func (queue *Queue) Ready() bool { return queue.waiting > 0 && queue.inUse < queue.slots }
 
-// Next admits waiting requests while slots are free. Call it when the processor has
+// AdmitNext admits waiting requests while slots are free. Call it when the processor has
 // nothing else to do, so that requests admitted earlier are served first.
-func (queue *Queue) Next(now time.Time) Change {
+func (queue *Queue) AdmitNext(now time.Time) Change {
 	change := queue.Expire(now)
 	for queue.Ready() {
 		change.Admitted = append(change.Admitted, queue.admitNext(now))
--- a/core/beryladmission/queue_test.go
+++ b/core/beryladmission/queue_test.go
@@ -112,7 +112,7 @@
 				if queue.Reject(now, request) == NotRejected {
 					admit(queue.Offer(now, request))
 				}
-				admit(queue.Next(now))
+				admit(queue.AdmitNext(now))
 			}
 		}
 		if len(admitted) == 0 {
@@ -120,8 +120,8 @@
 		}
 		for len(admitted) > 0 && !now.Before(nextDone) {
 			admitted = admitted[1:]
-			queue.Done()
-			admit(queue.Next(now))
+			queue.Release()
+			admit(queue.AdmitNext(now))
 			nextDone = nextDone.Add(cost)
 		}
 		admit(queue.Expire(now))
@@ -158,9 +158,9 @@
 			switch {
 			case taken > 0 && rapid.Bool().Draw(t, "done"):
 				taken--
-				queue.Done()
+				queue.Release()
 			case rapid.Bool().Draw(t, "next"):
-				record(queue.Next(now))
+				record(queue.AdmitNext(now))
 			default:
 				next++
 				organisation := rapid.SampledFrom([]berylspoke.OrganisationID{"a", "b", "c"}).Draw(t, "organisation")
@@ -170,7 +170,7 @@
 			require.Equal(t, taken, queue.inUse)
 		}
 		for ; taken > 0; taken-- {
-			queue.Done()
+			queue.Release()
 		}
 		record(queue.Expire(now.Add(maxWait)))
 		for ticket := Ticket(1); ticket <= next; ticket++ {
@@ -193,8 +193,8 @@
 	}
 	for range 60 {
 		now = now.Add(500 * time.Microsecond)
-		queue.Done()
-		change := queue.Next(now)
+		queue.Release()
+		change := queue.AdmitNext(now)
 		require.Empty(t, change.Rejected)
 		taken += len(change.Admitted)
 	}
@@ -214,10 +214,10 @@
 	require.Equal(t, OverCap, queue.Reject(now, Request{4, "flood", 1_000}), "the waiting requests use it up")
 	require.Equal(t, NotRejected, queue.Reject(now, Request{4, "flood", 0}), "no engine serves this one")
 	require.Equal(t, NotRejected, queue.Reject(now, Request{4, "other", 1_000}))
-	queue.Done()
-	require.Len(t, queue.Next(now).Admitted, 1)
-	queue.Done()
-	require.Len(t, queue.Next(now).Admitted, 1)
+	queue.Release()
+	require.Len(t, queue.AdmitNext(now).Admitted, 1)
+	queue.Release()
+	require.Len(t, queue.AdmitNext(now).Admitted, 1)
 	require.Equal(t, OverCap, queue.Reject(now, Request{4, "flood", 1_000}), "the admitted requests have used it up")
 	later := now.Add(overloadHold)
 	require.Equal(t, OverCap, queue.Reject(later, Request{4, "flood", 1_000}))
--- a/core/berylcatalog/index.go
+++ b/core/berylcatalog/index.go
@@ -76,12 +76,12 @@
 // Regions returns the regions in which a request of an organisation on a route may be
 // served.
 func (index *Index) Regions(route *berylspoke.Route, organisation berylspoke.OrganisationID) berylspoke.Regions {
-	return route.Regions.And(index.regions[organisation])
+	return route.Regions.Intersect(index.regions[organisation])
 }
 
-// Service picks the service of a request by the weights of its route. It depends only on
-// the hash of the request's id, so all attempts of a request pick the same service.
-func Service(route *berylspoke.Route, id berylspoke.RequestID) berylspoke.ServiceID {
+// PickService picks the service of a request by the weights of its route. It depends only
+// on the hash of the request's id, so all attempts of a request pick the same service.
+func PickService(route *berylspoke.Route, id berylspoke.RequestID) berylspoke.ServiceID {
 	total := 0
 	for _, share := range route.Shares {
 		total += max(share.Weight, 0)
--- a/core/berylcatalog/index_test.go
+++ b/core/berylcatalog/index_test.go
@@ -24,5 +24,5 @@
 	require.Equal(t, berylspoke.Regions{"r"}, index.Regions(bound, "free"))
 	require.Equal(t, berylspoke.Regions{"r"}, index.Regions(bound, "bound"))
 	none := index.Regions(bound, "elsewhere")
-	require.False(t, none.Allow("r") || none.Allow("t"))
+	require.False(t, none.Allows("r") || none.Allows("t"))
 }
--- a/core/berylconfig/config_test.go
+++ b/core/berylconfig/config_test.go
@@ -27,7 +27,7 @@
 				if json.Compact(&compact, body) == nil {
 					body = compact.Bytes()
 				}
-				published = append(published, berylspoke.Published{Number: berylspoke.EntryNumber(len(published) + 1), Body: body})
+				published = append(published, berylspoke.Published{Number: berylspoke.PatchNumber(len(published) + 1), Body: body})
 				store.Add(published[len(published)-1:])
 				return describe(store)
 			case "stale":
@@ -39,7 +39,7 @@
 			case "rewrite":
 				var number int
 				step.ScanArgs(t, "number", &number)
-				store.Add([]berylspoke.Published{{Number: berylspoke.EntryNumber(number), Body: []byte(`{"base":0}`)}})
+				store.Add([]berylspoke.Published{{Number: berylspoke.PatchNumber(number), Body: []byte(`{"base":0}`)}})
 				return fmt.Sprintf("%sconflicts %d\n", describe(store), store.Conflicts)
 			case "organisations":
 				var text strings.Builder
@@ -81,7 +81,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var published []berylspoke.Published
 		stores := []*Store{NewStore(), NewStore(), NewStore()}
-		byNumber := make(map[berylspoke.EntryNumber]Hash)
+		byNumber := make(map[berylspoke.PatchNumber]Hash)
 		reader := func(t *rapid.T) *Store { return stores[rapid.IntRange(0, len(stores)-1).Draw(t, "reader")] }
 		t.Repeat(map[string]func(*rapid.T){
 			"publish": func(t *rapid.T) {
@@ -90,7 +90,7 @@
 					base = berylspoke.ConfigVersion(rapid.IntRange(0, 3).Draw(t, "base"))
 				}
 				body := drawPatch(t, base)
-				published = append(published, berylspoke.Published{Number: berylspoke.EntryNumber(len(published) + 1), Body: body})
+				published = append(published, berylspoke.Published{Number: berylspoke.PatchNumber(len(published) + 1), Body: body})
 				stores[0].Add(published)
 			},
 			"read": func(t *rapid.T) {
@@ -140,7 +140,7 @@
 	ahead, behind := NewStore(), NewStore()
 	for number := range 2 * maxEntries {
 		body := fmt.Sprintf(`{"base":%d,"organisations":{"o%d":{"weight":1,"keyDigests":[]}}}`, number, number%7)
-		ahead.Add([]berylspoke.Published{{Number: berylspoke.EntryNumber(number + 1), Body: []byte(body)}})
+		ahead.Add([]berylspoke.Published{{Number: berylspoke.PatchNumber(number + 1), Body: []byte(body)}})
 	}
 	_, kept := ahead.After(behind.State().Number, 1000)
 	require.False(t, kept)
--- a/core/berylconfig/fold.go
+++ b/core/berylconfig/fold.go
@@ -19,7 +19,7 @@
 
 // State is the result of folding every entry up to Number.
 type State struct {
-	Number       berylspoke.EntryNumber
+	Number       berylspoke.PatchNumber
 	Version      berylspoke.ConfigVersion
 	Hash         Hash
 	Declarations *Declarations
@@ -30,7 +30,7 @@
 
 // Outcome reports to operators whether an entry was accepted.
 type Outcome struct {
-	Number   berylspoke.EntryNumber   `json:"number"`
+	Number   berylspoke.PatchNumber   `json:"number"`
 	Accepted bool                     `json:"accepted"`
 	Version  berylspoke.ConfigVersion `json:"version"`
 	Problem  string                   `json:"problem,omitempty"`
--- a/core/berylconfig/messages.go
+++ b/core/berylconfig/messages.go
@@ -8,13 +8,13 @@
 
 // PullRequest requests the entries after a number from a peer.
 type PullRequest struct {
-	After berylspoke.EntryNumber
+	After berylspoke.PatchNumber
 }
 
 // PullAnswer carries entries, or a snapshot if the sender no longer keeps all entries
 // that the peer lacks; Number is the last entry of the sender.
 type PullAnswer struct {
-	Number   berylspoke.EntryNumber
+	Number   berylspoke.PatchNumber
 	Serving  bool
 	Entries  []berylspoke.Published
 	Snapshot []byte
--- a/core/berylconfig/snapshot.go
+++ b/core/berylconfig/snapshot.go
@@ -54,7 +54,7 @@
 		return nil, errors.Errorf("snapshot is not valid: %s", faults[0])
 	}
 	return &State{
-		Number: berylspoke.EntryNumber(wire.Number), Version: berylspoke.ConfigVersion(wire.Version),
+		Number: berylspoke.PatchNumber(wire.Number), Version: berylspoke.ConfigVersion(wire.Version),
 		Hash: Hash(wire.Hash), Declarations: wire.Declarations,
 	}, nil
 }
--- a/core/berylconfig/store.go
+++ b/core/berylconfig/store.go
@@ -73,8 +73,8 @@
 }
 
 // floor returns the number of the entry before the first one kept.
-func (store *Store) floor() berylspoke.EntryNumber {
-	return store.state.Number - berylspoke.EntryNumber(len(store.entries))
+func (store *Store) floor() berylspoke.PatchNumber {
+	return store.state.Number - berylspoke.PatchNumber(len(store.entries))
 }
 
 // compare detects a rewritten history, which is reported to operators.
@@ -90,7 +90,7 @@
 // After returns the entries above the number, about limit bytes at most but at least one
 // entry, for a peer that lacks them. It returns false if some of them are no longer kept
 // and the peer needs a snapshot.
-func (store *Store) After(number berylspoke.EntryNumber, limit int) ([]berylspoke.Published, bool) {
+func (store *Store) After(number berylspoke.PatchNumber, limit int) ([]berylspoke.Published, bool) {
 	if number >= store.state.Number {
 		return nil, true
 	}
--- a/core/berylfeed/contacts.go
+++ b/core/berylfeed/contacts.go
@@ -37,8 +37,8 @@
 // NewContacts returns the contacts of a daemon. The origin must differ between daemons.
 func NewContacts(origin uint32) Contacts { return Contacts{origin: origin} }
 
-// Own records when the store answered this daemon.
-func (contacts *Contacts) Own(at time.Time) {
+// RecordOwn records when the store answered this daemon.
+func (contacts *Contacts) RecordOwn(at time.Time) {
 	if !at.After(contacts.lastOwn) {
 		return
 	}
@@ -47,8 +47,8 @@
 	contacts.add(ContactID(contacts.origin)<<32|ContactID(contacts.count), at)
 }
 
-// Heard records a contact that a peer reported.
-func (contacts *Contacts) Heard(now time.Time, contact Contact) {
+// Receive records a contact that a peer reported.
+func (contacts *Contacts) Receive(now time.Time, contact Contact) {
 	if _, known := contacts.received[contact.ID]; known || uint32(contact.ID>>32) == contacts.origin && contacts.count > 0 {
 		return
 	}
--- a/core/berylfeed/feed.go
+++ b/core/berylfeed/feed.go
@@ -56,14 +56,15 @@
 // New returns an empty feed.
 func New() *Feed { return &Feed{records: make(map[string]*record)} }
 
-// SetPatience sets how long the store answers no daemon before that counts as an outage.
-func (feed *Feed) SetPatience(threshold time.Duration) { feed.outageThreshold = threshold }
+// SetOutageThreshold sets how long the store answers no daemon before that counts as an
+// outage.
+func (feed *Feed) SetOutageThreshold(threshold time.Duration) { feed.outageThreshold = threshold }
 
 // AsOf returns the revision up to which the feed is complete.
 func (feed *Feed) AsOf() berylspoke.Revision { return feed.asOf }
 
-// Last returns the revision of the newest change that was applied.
-func (feed *Feed) Last() berylspoke.Revision { return feed.lastChange }
+// LastChange returns the revision of the newest change that was applied.
+func (feed *Feed) LastChange() berylspoke.Revision { return feed.lastChange }
 
 // Known reports whether the feed has ever held the store's state.
 func (feed *Feed) Known() bool { return feed.known }
@@ -86,13 +87,13 @@
 // before.
 func (feed *Feed) Answered(now time.Time) bool {
 	changed := feed.down
-	feed.Reached(now, now)
+	feed.AnsweredAny(now, now)
 	feed.down, feed.lastAnswer = false, now
 	return changed
 }
 
-// Reached records that the store answered some daemon at the given time.
-func (feed *Feed) Reached(now, at time.Time) {
+// AnsweredAny records that the store answered some daemon at the given time.
+func (feed *Feed) AnsweredAny(now, at time.Time) {
 	if feed.outage(at) {
 		feed.recoveredAt = now
 	}
@@ -133,8 +134,9 @@
 	return changed
 }
 
-// Change applies the changes that a watch returned and reports whether anything changed.
-func (feed *Feed) Change(now time.Time, items []berylspoke.Item, asOf berylspoke.Revision) bool {
+// ApplyChanges applies the changes that a watch returned and reports whether anything
+// changed.
+func (feed *Feed) ApplyChanges(now time.Time, items []berylspoke.Item, asOf berylspoke.Revision) bool {
 	changed := false
 	for _, item := range items {
 		changed = feed.apply(now, item, 0) || changed
--- a/core/berylfeed/feed_test.go
+++ b/core/berylfeed/feed_test.go
@@ -75,7 +75,7 @@
 				store.write(fmt.Sprint("k", rapid.IntRange(0, 4).Draw(t, "key")), rapid.Bool().Draw(t, "deleted"))
 			case 2:
 				if feed.Known() {
-					feed.Change(now, store.changes[feed.AsOf():], store.asOf())
+					feed.ApplyChanges(now, store.changes[feed.AsOf():], store.asOf())
 				}
 			case 3:
 				feed.Replace(now, store.list(), store.asOf())
@@ -120,17 +120,17 @@
 	require.True(t, feed.Failed())
 	now = now.Add(10 * time.Second)
 	require.True(t, feed.Answered(now))
-	feed.Change(now, []berylspoke.Item{item("back", 3, true), item("gone", 4, true)}, 4)
+	feed.ApplyChanges(now, []berylspoke.Item{item("back", 3, true), item("gone", 4, true)}, 4)
 	items, until := feed.Items(now)
 	require.Len(t, items, 2)
 	require.Equal(t, now.Add(Grace), until)
 	now = now.Add(2 * time.Second)
-	feed.Change(now, []berylspoke.Item{item("back", 5, false)}, 5)
+	feed.ApplyChanges(now, []berylspoke.Item{item("back", 5, false)}, 5)
 	now = now.Add(Grace)
 	items, _ = feed.Items(now)
 	require.Len(t, items, 1)
 	require.Equal(t, "back", items[0].Key)
-	feed.Change(now.Add(time.Minute), []berylspoke.Item{item("back", 6, true)}, 6)
+	feed.ApplyChanges(now.Add(time.Minute), []berylspoke.Item{item("back", 6, true)}, 6)
 	items, _ = feed.Items(now.Add(time.Minute))
 	require.Empty(t, items, "without an outage a removed item has no grace period")
 }
@@ -140,17 +140,17 @@
 func TestRemovalThatOthersSawHasNoGrace(t *testing.T) {
 	now := time.Unix(0, 0)
 	feed := New()
-	feed.SetPatience(2 * time.Second)
+	feed.SetOutageThreshold(2 * time.Second)
 	feed.Answered(now)
 	feed.Replace(now, []berylspoke.Item{{Key: "gone", Value: []byte("gone"), Revision: 1}}, 1)
 	feed.Failed()
 	for range 5 {
 		now = now.Add(time.Second)
-		feed.Reached(now, now.Add(-500*time.Millisecond))
+		feed.AnsweredAny(now, now.Add(-500*time.Millisecond))
 	}
 	feed.Answered(now.Add(time.Second))
 	now = now.Add(time.Second)
-	feed.Change(now, []berylspoke.Item{{Key: "gone", Revision: 2, Deleted: true}}, 2)
+	feed.ApplyChanges(now, []berylspoke.Item{{Key: "gone", Revision: 2, Deleted: true}}, 2)
 	items, _ := feed.Items(now)
 	require.Empty(t, items)
 }
--- a/core/berylgate/choose.go
+++ b/core/berylgate/choose.go
@@ -76,14 +76,14 @@
 func (gate *Gate) Submit(now time.Time, request *Request) Decision {
 	pool := gate.pools[request.Service]
 	if pool == nil {
-		return refused(berylspoke.ReasonUnknown, defaultRetryAfter)
+		return refused(berylspoke.ReasonUnknownService, defaultRetryAfter)
 	}
 	retry := request.sends > 0
 	if !retry && request.tried == nil {
 		gate.countDemand(now, pool, request)
 	}
 	if retry && request.sends >= request.Attempts {
-		return refused(berylspoke.ReasonTarget, defaultRetryAfter)
+		return refused(berylspoke.ReasonTargetFailed, defaultRetryAfter)
 	}
 	allowance := gate.allow(now, pool, request, retry)
 	prompt := gate.prompt(pool, request)
@@ -164,7 +164,7 @@
 func (gate *Gate) best(now time.Time, pool *pool, request *Request, prompt prompt, allowance allowance) (candidate, bool) {
 	var best, late, unusable candidate
 	for _, target := range pool.targets {
-		if target.Leaving || request.tried[target.ID] || !gate.allows(request.Regions, target) || !target.withinColdBudget(now) {
+		if target.Draining || request.tried[target.ID] || !gate.allows(request.Regions, target) || !target.withinColdBudget(now) {
 			continue
 		}
 		option := gate.evaluate(now, target, request, prompt)
--- a/core/berylgate/cold.go
+++ b/core/berylgate/cold.go
@@ -65,10 +65,10 @@
 // empty, so that an update of the members allows no second burst.
 func (gate *Gate) coldBudget(now time.Time, target *target) *berylroute.Budget {
 	pool := gate.pools[target.Service]
-	if pool == nil || pool.service.ColdPerSecond <= 0 {
+	if pool == nil || pool.service.ColdRequestsPerSecond <= 0 {
 		return nil
 	}
-	rate := pool.service.ColdPerSecond
+	rate := pool.service.ColdRequestsPerSecond
 	count := min(max(int((1-coldSustainedShare)*rate), 1), maxColdSenders)
 	chosen := berylmember.Ranked("cold "+string(target.ID), gate.nearestVMs(target), count)
 	for _, vm := range chosen {
--- a/core/berylgate/cold_test.go
+++ b/core/berylgate/cold_test.go
@@ -18,8 +18,8 @@
 		gate := newGate(now, i+1, 0, false)
 		gate.options.FailureDomain = berylspoke.FailureDomain(fmt.Sprint("d-", i%domains))
 		catalog := &berylspoke.Catalog{Services: map[berylspoke.ServiceID]berylspoke.Service{drafts: {
-			ID: drafts, MaxConnections: 1_000, ColdFor: 3 * time.Second, ColdPerSecond: 14,
-			Engine: &berylspoke.EngineSpec{Slots: 1_000, Memory: 100_000_000},
+			ID: drafts, MaxConnections: 1_000, ColdFor: 3 * time.Second, ColdRequestsPerSecond: 14,
+			Engine: &berylspoke.EngineSpec{Slots: 1_000, CacheCapacity: 100_000_000},
 		}}}
 		gate.SetCatalog(now, catalog)
 		gate.SetTargets(now, []berylspoke.Target{target})
--- a/core/berylgate/dump.go
+++ b/core/berylgate/dump.go
@@ -39,7 +39,7 @@
 	for _, target := range gate.sorted {
 		target.drain(now)
 		dump.Targets = append(dump.Targets, TargetDump{
-			ID: target.ID, Service: target.Service, Draining: target.Leaving, BacklogMillis: target.backlogMillis,
+			ID: target.ID, Service: target.Service, Draining: target.Draining, BacklogMillis: target.backlogMillis,
 			Slowdown: target.slowdown, Running: target.running, OthersRunning: target.others.running,
 			ErrorRate: target.errorRate, Suspect: target.suspect, Paused: now.Before(target.pausedUntil),
 		})
--- a/core/berylgate/gate.go
+++ b/core/berylgate/gate.go
@@ -40,7 +40,7 @@
 	Attempts      int
 	Input, Output berylspoke.Tokens
 	// The segments of the prompt in order; the last is the request's own.
-	Parts []berylspoke.Part
+	Parts []berylspoke.PromptSegment
 	// Regions are the regions whose targets may serve the request.
 	Regions berylspoke.Regions
 	// sends counts the targets that may have received the request; tried holds those that
@@ -170,7 +170,7 @@
 	targets := make(map[berylspoke.TargetID]*target, len(declared))
 	for _, item := range declared {
 		known := gate.targets[item.ID]
-		if known == nil || known.Born != item.Born || known.Address != item.Address || known.Service != item.Service {
+		if known == nil || known.Started != item.Started || known.Address != item.Address || known.Service != item.Service {
 			known = newTarget(now, item)
 			known.ColdFor = 0
 		}
@@ -204,7 +204,7 @@
 
 // allows reports whether a target is in one of the given regions.
 func (gate *Gate) allows(regions berylspoke.Regions, target *target) bool {
-	return regions.Allow(gate.options.RegionOf[target.FailureDomain])
+	return regions.Allows(gate.options.RegionOf[target.FailureDomain])
 }
 
 // indexTargets derives the targets of each service and the lookup tables.
--- a/core/berylgate/gate_test.go
+++ b/core/berylgate/gate_test.go
@@ -31,7 +31,7 @@
 	})
 	service := berylspoke.Service{ID: drafts, MaxConnections: 100}
 	if !plain {
-		service.Engine = &berylspoke.EngineSpec{Slots: 64, Memory: 444_000}
+		service.Engine = &berylspoke.EngineSpec{Slots: 64, CacheCapacity: 444_000}
 	}
 	gate.SetCatalog(now, &berylspoke.Catalog{
 		Services: map[berylspoke.ServiceID]berylspoke.Service{drafts: service},
@@ -47,7 +47,7 @@
 	return gate
 }
 
-func newRequest(now time.Time, organisation string, segments ...berylspoke.Part) *Request {
+func newRequest(now time.Time, organisation string, segments ...berylspoke.PromptSegment) *Request {
 	var input berylspoke.Tokens
 	for _, segment := range segments {
 		input += segment.Tokens
@@ -128,7 +128,7 @@
 	now := time.Unix(0, 0)
 	one, other := newGate(now, 1, 9, false), newGate(now, 2, 9, false)
 	for prefix := range uint64(40) {
-		segments := []berylspoke.Part{{ID: prefix, Tokens: 5000}, {ID: 1 << 40, Tokens: 100}}
+		segments := []berylspoke.PromptSegment{{ID: prefix, Tokens: 5000}, {ID: 1 << 40, Tokens: 100}}
 		first := one.Submit(now, newRequest(now, "o", segments...))
 		second := other.Submit(now, newRequest(now, "p", segments...))
 		require.Equal(t, first.Target.ID, second.Target.ID)
@@ -154,7 +154,7 @@
 	for _, shared := range []berylspoke.Tokens{200, 600, 5000} {
 		seen[shared] = make(map[berylspoke.FailureDomain]bool)
 		for prefix := range uint64(40) {
-			home := gate.prompt(gate.pools[drafts], &Request{Parts: []berylspoke.Part{{ID: prefix, Tokens: shared}, {}}}).home
+			home := gate.prompt(gate.pools[drafts], &Request{Parts: []berylspoke.PromptSegment{{ID: prefix, Tokens: shared}, {}}}).home
 			seen[shared][home.FailureDomain] = true
 		}
 	}
@@ -162,7 +162,7 @@
 	require.Equal(t, map[berylspoke.FailureDomain]bool{"a": true, "b": true}, seen[600])
 	require.Len(t, seen[5000], 3)
 	gate.SetTargets(now, targets[1:2])
-	home := gate.prompt(gate.pools[drafts], &Request{Parts: []berylspoke.Part{{ID: 1, Tokens: 200}, {}}}).home
+	home := gate.prompt(gate.pools[drafts], &Request{Parts: []berylspoke.PromptSegment{{ID: 1, Tokens: 200}, {}}}).home
 	require.EqualValues(t, "t-1", home.ID, "without a target in the own domain the next one is taken")
 }
 
@@ -171,7 +171,7 @@
 func TestSilentTargetIsAvoided(t *testing.T) {
 	now := time.Unix(0, 0)
 	gate := newGate(now, 1, 2, false)
-	segments := []berylspoke.Part{{ID: 7, Tokens: 5000}, {ID: 8, Tokens: 100}}
+	segments := []berylspoke.PromptSegment{{ID: 7, Tokens: 5000}, {ID: 8, Tokens: 100}}
 	request := newRequest(now, "o", segments...)
 	silent := gate.Submit(now, request).Target.ID
 	now = now.Add(1500 * time.Millisecond)
@@ -204,12 +204,12 @@
 	now := time.Unix(0, 0)
 	gate, peer := newGate(now, 1, 3, false), newGate(now, 2, 3, false)
 	sendReport := func() { peer.Heard(now, "vm-1", gate.Report(now)) }
-	prefix := berylspoke.Part{ID: 7, Tokens: 500}
-	shortRequest := func() *Request { return newRequest(now, "o", prefix, berylspoke.Part{ID: 1, Tokens: 600}) }
+	prefix := berylspoke.PromptSegment{ID: 7, Tokens: 500}
+	shortRequest := func() *Request { return newRequest(now, "o", prefix, berylspoke.PromptSegment{ID: 1, Tokens: 600}) }
 	home := gate.Submit(now, shortRequest()).Target.ID
 	require.False(t, gate.Urgent(), "dispatches of short prompts wait until a report is due")
 	sendReport()
-	require.Equal(t, home, gate.Submit(now, newRequest(now, "o", prefix, berylspoke.Part{ID: 2, Tokens: 40_000})).Target.ID)
+	require.Equal(t, home, gate.Submit(now, newRequest(now, "o", prefix, berylspoke.PromptSegment{ID: 2, Tokens: 40_000})).Target.ID)
 	require.True(t, gate.Urgent())
 	require.Equal(t, home, peer.Submit(now, shortRequest()).Target.ID)
 	sendReport()
@@ -224,7 +224,7 @@
 	now := time.Unix(0, 0)
 	gate, peer := newGate(now, 1, 1, false), newGate(now, 2, 1, false)
 	for segment := range uint64(6) {
-		gate.Submit(now, newRequest(now, "o", berylspoke.Part{ID: segment, Tokens: 6_000}))
+		gate.Submit(now, newRequest(now, "o", berylspoke.PromptSegment{ID: segment, Tokens: 6_000}))
 	}
 	peer.Heard(now, "vm-1", gate.Report(now))
 	require.InDelta(t, gate.sorted[0].backlogMillis, peer.sorted[0].backlogMillis, 1)
@@ -243,7 +243,7 @@
 	peer.SetDaemons(now, 73)
 	gate.Report(now)
 	now = now.Add(time.Millisecond)
-	request := newRequest(now, "o", berylspoke.Part{ID: 1, Tokens: 6000})
+	request := newRequest(now, "o", berylspoke.PromptSegment{ID: 1, Tokens: 6000})
 	require.Nil(t, gate.Submit(now, request).Refusal)
 	gate.Began(now, request, &berylspoke.EngineLoad{Running: 7, Waiting: 2, Slots: 12})
 	now = now.Add(time.Second)
@@ -296,7 +296,7 @@
 	}
 	gate.SetTargets(now, targets)
 	for segment := range uint64(40) {
-		request := newRequest(now, "clergy", berylspoke.Part{ID: segment, Tokens: 5_000}, berylspoke.Part{ID: 1_000 + segment, Tokens: 10})
+		request := newRequest(now, "clergy", berylspoke.PromptSegment{ID: segment, Tokens: 5_000}, berylspoke.PromptSegment{ID: 1_000 + segment, Tokens: 10})
 		request.Regions = berylspoke.Regions{"s"}
 		request.Objective = time.Minute
 		decision := gate.Submit(now, request)
@@ -310,6 +310,6 @@
 		require.NotNil(t, gate.Submit(now, request).Refusal)
 	}
 	request := newRequest(now, "clergy")
-	request.Regions = berylspoke.Regions{"r"}.And(berylspoke.Regions{"s"})
+	request.Regions = berylspoke.Regions{"r"}.Intersect(berylspoke.Regions{"s"})
 	require.NotNil(t, gate.Submit(now, request).Refusal, "no region is allowed by both")
 }
--- a/core/berylgate/parts.go
+++ b/core/berylgate/parts.go
@@ -30,7 +30,7 @@
 
 // prompt describes the prefix that a request's prompt shares with others.
 type prompt struct {
-	shared []berylspoke.Part
+	shared []berylspoke.PromptSegment
 	total  berylspoke.Tokens
 	// regions are those in which the request may be served.
 	regions berylspoke.Regions
@@ -64,7 +64,7 @@
 	var found [scopeCount]*target
 	var top [scopeCount]uint64
 	for _, target := range pool.targets {
-		if target.Leaving || !gate.allows(regions, target) {
+		if target.Draining || !gate.allows(regions, target) {
 			continue
 		}
 		score := rendezvousScore(segment, uint64(target.hash))
@@ -149,7 +149,7 @@
 
 // cached returns how many leading tokens of a prompt are assumed to be in the target's KV
 // cache.
-func (target *target) cached(now time.Time, segments []berylspoke.Part) berylspoke.Tokens {
+func (target *target) cached(now time.Time, segments []berylspoke.PromptSegment) berylspoke.Tokens {
 	var cached berylspoke.Tokens
 	for _, segment := range segments {
 		if sentAt, known := target.lastSent[segment.ID]; !known || now.Sub(sentAt) > cacheLifetime {
@@ -161,7 +161,7 @@
 }
 
 // recordCached records the shared segments of a prompt that was sent to the target.
-func (target *target) recordCached(now time.Time, segments []berylspoke.Part) {
+func (target *target) recordCached(now time.Time, segments []berylspoke.PromptSegment) {
 	for _, segment := range segments {
 		target.lastSent[segment.ID] = now
 	}
--- a/core/berylgate/parts_test.go
+++ b/core/berylgate/parts_test.go
@@ -32,7 +32,7 @@
 func TestHotPrefixIsFetchedNotRecomputed(t *testing.T) {
 	now := time.Unix(0, 0)
 	gate := newSpreadGate(now)
-	segments := []berylspoke.Part{{ID: 7, Tokens: 5000}, {ID: 8, Tokens: 3000}}
+	segments := []berylspoke.PromptSegment{{ID: 7, Tokens: 5000}, {ID: 8, Tokens: 3000}}
 	home := gate.prompt(gate.pools[drafts], &Request{Parts: segments}).home
 	sent := make(map[berylspoke.TargetID]int)
 	for range 60 {
@@ -59,7 +59,7 @@
 	now := time.Unix(0, 0)
 	gate := newSpreadGate(now)
 	pool := gate.pools[drafts]
-	prompt := gate.prompt(pool, &Request{Parts: []berylspoke.Part{{ID: 7, Tokens: 5000}, {ID: 8, Tokens: 3000}}})
+	prompt := gate.prompt(pool, &Request{Parts: []berylspoke.PromptSegment{{ID: 7, Tokens: 5000}, {ID: 8, Tokens: 3000}}})
 	prompt.homes = [scopeCount]*target{fleetScope: gate.targets["t-4"]}
 	to := gate.targets["t-2"]
 	require.EqualValues(t, "t-4", gate.cacheSource(now, pool, to, prompt).ID, "the home, if no target is known to have them")
@@ -68,7 +68,7 @@
 	gate.targets["t-0"].recordCached(now, prompt.shared)
 	gate.targets["t-3"].recordCached(now, prompt.shared)
 	require.EqualValues(t, "t-3", gate.cacheSource(now, pool, to, prompt).ID, "the nearest target that was sent them")
-	gate.targets["t-3"].Leaving = true
+	gate.targets["t-3"].Draining = true
 	require.EqualValues(t, "t-3", gate.cacheSource(now, pool, to, prompt).ID)
 	gate.targets["t-3"].recordFailure(now)
 	require.EqualValues(t, "t-0", gate.cacheSource(now, pool, to, prompt).ID)
@@ -86,7 +86,7 @@
 	gate := newSpreadGate(now)
 	pool := gate.pools[drafts]
 	from := func(source string, to berylspoke.TargetID, tokens berylspoke.Tokens) *target {
-		prompt := gate.prompt(pool, &Request{Parts: []berylspoke.Part{{ID: 7, Tokens: tokens}, {ID: 8, Tokens: 3000}}})
+		prompt := gate.prompt(pool, &Request{Parts: []berylspoke.PromptSegment{{ID: 7, Tokens: tokens}, {ID: 8, Tokens: 3000}}})
 		prompt.homes = [scopeCount]*target{fleetScope: gate.targets[berylspoke.TargetID(source)]}
 		return gate.cacheSource(now, pool, gate.targets[to], prompt)
 	}
@@ -105,7 +105,7 @@
 	pool := gate.pools[drafts]
 	differ := 0
 	for prefix := range uint64(40) {
-		prompt := gate.prompt(pool, &Request{Parts: []berylspoke.Part{{ID: prefix, Tokens: 200}, {ID: 1 << 40, Tokens: 600}}})
+		prompt := gate.prompt(pool, &Request{Parts: []berylspoke.PromptSegment{{ID: prefix, Tokens: 200}, {ID: 1 << 40, Tokens: 600}}})
 		require.Equal(t, prompt.homes[domainScope], prompt.home)
 		source := gate.cacheSource(now, pool, prompt.home, prompt)
 		if wider := prompt.homes[regionScope]; wider != prompt.home {
--- a/core/berylgate/refusal_test.go
+++ b/core/berylgate/refusal_test.go
@@ -26,7 +26,7 @@
 	for _, objective := range []time.Duration{400 * time.Millisecond, 800 * time.Millisecond} {
 		seen := make(map[time.Duration]bool)
 		for range 50 {
-			request := newRequest(now, "flood", berylspoke.Part{ID: 1, Tokens: 2_000})
+			request := newRequest(now, "flood", berylspoke.PromptSegment{ID: 1, Tokens: 2_000})
 			request.Objective = objective
 			refusal := gate.Submit(now, request).Refusal
 			require.NotNil(t, refusal)
@@ -46,7 +46,7 @@
 	target := gate.sorted[0]
 	const queue = 1_500.0
 	target.backlogMillis, target.pendingMillis = queue, queue
-	request := newRequest(now, "o", berylspoke.Part{ID: 1, Tokens: 200})
+	request := newRequest(now, "o", berylspoke.PromptSegment{ID: 1, Tokens: 200})
 	refusal := gate.Submit(now, request).Refusal
 	require.NotNil(t, refusal)
 	require.GreaterOrEqual(t, refusal.RetryAfter, duration(queue)-request.Objective)
--- a/core/berylgate/target.go
+++ b/core/berylgate/target.go
@@ -271,12 +271,12 @@
 		return true
 	}
 	const usableShare = 0.9
-	usable := berylspoke.Tokens(usableShare * float64(target.engine.Memory))
+	usable := berylspoke.Tokens(usableShare * float64(target.engine.CacheCapacity))
 	return usable > 0 && target.kvTokens+target.others.kvTokens+needed > usable
 }
 
 // usable reports whether a request may be sent to the target.
-func (target *target) usable(now time.Time) bool { return !target.Leaving && target.responsive(now) }
+func (target *target) usable(now time.Time) bool { return !target.Draining && target.responsive(now) }
 
 // responsive reports whether the target is believed to answer; a draining target does for
 // a while.
--- a/core/berylgate/usage_test.go
+++ b/core/berylgate/usage_test.go
@@ -172,7 +172,7 @@
 		usage.demand.add(now, 20_000)
 		usage.served.add(now, 5_000)
 		for _, gate := range fleet.gates {
-			request := newRequest(now, "large", berylspoke.Part{ID: uint64(tick), Tokens: 800})
+			request := newRequest(now, "large", berylspoke.PromptSegment{ID: uint64(tick), Tokens: 800})
 			if gate.Submit(now, request).Refusal == nil {
 				served[tick/second] += TokensOf(request)
 				gate.Began(now, request, nil)
@@ -200,7 +200,7 @@
 		gate.shares.usage(hashOf(organisation)).served.add(now, tokens)
 	}
 	submit := func(organisation string) Decision {
-		request := newRequest(now, organisation, berylspoke.Part{ID: 1, Tokens: 100}, berylspoke.Part{ID: 2, Tokens: 6_000})
+		request := newRequest(now, organisation, berylspoke.PromptSegment{ID: 1, Tokens: 100}, berylspoke.PromptSegment{ID: 2, Tokens: 6_000})
 		request.Objective = 250 * time.Millisecond
 		return gate.Submit(now, request)
 	}
@@ -235,7 +235,7 @@
 	count := 0
 	submit := func(gate *Gate, organisation string, round int) {
 		count++
-		request := newRequest(now, organisation, berylspoke.Part{ID: uint64(count), Tokens: sizes[count%len(sizes)]})
+		request := newRequest(now, organisation, berylspoke.PromptSegment{ID: uint64(count), Tokens: sizes[count%len(sizes)]})
 		demand[organisation][round] += float64(TokensOf(request))
 		if gate.Submit(now, request).Refusal == nil {
 			served[organisation][round] += float64(TokensOf(request))
@@ -298,13 +298,13 @@
 	for range 20 {
 		gate.RejectedOverCap(now, map[berylspoke.OrganisationID]berylspoke.Tokens{"flood": 100_000})
 	}
-	gate.Submit(now, newRequest(now, "small", berylspoke.Part{ID: 1, Tokens: 1_000}))
+	gate.Submit(now, newRequest(now, "small", berylspoke.PromptSegment{ID: 1, Tokens: 1_000}))
 	now = now.Add(levelInterval)
 	allowances := gate.Allowances(now)
 	require.Len(t, allowances, 1, "only the flood is beyond its cap")
 	require.Positive(t, allowances["flood"])
 	for allowances["flood"] > 0 {
-		request := newRequest(now, "flood", berylspoke.Part{ID: 2, Tokens: 30_000})
+		request := newRequest(now, "flood", berylspoke.PromptSegment{ID: 2, Tokens: 30_000})
 		require.False(t, math.IsInf(gate.overuse(now, gate.pools[drafts], request), 1), "it may start its allowance")
 		gate.shares.usageOf("flood").countSent(now, TokensOf(request))
 		allowances = gate.Allowances(now)
--- a/core/berylmember/rumour.go
+++ b/core/berylmember/rumour.go
@@ -55,7 +55,7 @@
 // Heartbeat shows that its sender is alive and carries rumours.
 type Heartbeat struct {
 	Self    Rumour
-	Number  berylspoke.EntryNumber
+	Number  berylspoke.PatchNumber
 	Serving bool
 	// Sync requests all rumours that the receiver knows, unless Digest is set and shows
 	// that both know the same.
--- a/core/berylmember/table.go
+++ b/core/berylmember/table.go
@@ -57,7 +57,7 @@
 	LastSeen time.Time
 	Changed  time.Time
 	// Number is the last configuration entry that the member reported to have.
-	Number  berylspoke.EntryNumber
+	Number  berylspoke.PatchNumber
 	Serving bool
 }
 
--- a/core/berylmodel/engine.go
+++ b/core/berylmodel/engine.go
@@ -49,7 +49,7 @@
 // Job is one request at an engine.
 type Job struct {
 	Input, Output berylspoke.Tokens
-	Segments      []berylspoke.Part
+	Segments      []berylspoke.PromptSegment
 	// Started and Ended are called with the time of the first event and of the last.
 	Started, Ended func(now time.Time)
 	// remaining is the number of prompt tokens still to prefill, prefilled the number
@@ -154,7 +154,7 @@
 }
 
 // cache marks a segment as the most recently used and adds it if it is not cached.
-func (engine *Engine) cache(segment berylspoke.Part) {
+func (engine *Engine) cache(segment berylspoke.PromptSegment) {
 	if old := engine.cached[segment.ID]; old != nil {
 		engine.recency.MoveToFront(old)
 		return
--- a/core/berylmodel/fleet.go
+++ b/core/berylmodel/fleet.go
@@ -151,7 +151,7 @@
 	catalog := &berylspoke.Catalog{
 		Services: map[berylspoke.ServiceID]berylspoke.Service{modelService: {
 			ID: modelService, MaxConnections: 1000,
-			Engine: &berylspoke.EngineSpec{Slots: options.Engine.Slots, Memory: options.Engine.CacheCapacity},
+			Engine: &berylspoke.EngineSpec{Slots: options.Engine.Slots, CacheCapacity: options.Engine.CacheCapacity},
 		}},
 		Limits: berylspoke.Limits{TokensPerSecond: options.TokensPerSecond},
 	}
--- a/core/berylmodel/load.go
+++ b/core/berylmodel/load.go
@@ -69,7 +69,7 @@
 	Organisation  int
 	Entry         int
 	Input, Output berylspoke.Tokens
-	Segments      []berylspoke.Part
+	Segments      []berylspoke.PromptSegment
 }
 
 // Arrivals generates the requests of a load, which arrive at a number of entry daemons,
@@ -126,7 +126,7 @@
 	}
 	own := logNormal(random, kind.Own, kind.Sigma)
 	arrival.Output = logNormal(random, kind.Output, kind.Sigma/2)
-	arrival.Segments = []berylspoke.Part{
+	arrival.Segments = []berylspoke.PromptSegment{
 		{ID: segmentID(arrival.Kind, 0, subject%kind.CommonCount), Tokens: kind.Common},
 		{ID: segmentID(arrival.Kind, 1, subject), Tokens: kind.Subject},
 		{ID: random.Uint64(), Tokens: own},
--- a/core/berylmodel/model_test.go
+++ b/core/berylmodel/model_test.go
@@ -31,7 +31,7 @@
 	firstEvent := func() time.Duration {
 		var started time.Time
 		job := &Job{
-			Input: 14_000, Output: 8, Segments: []berylspoke.Part{{ID: 1, Tokens: 13_000}, {ID: uint64(now.UnixNano()), Tokens: 1000}},
+			Input: 14_000, Output: 8, Segments: []berylspoke.PromptSegment{{ID: 1, Tokens: 13_000}, {ID: uint64(now.UnixNano()), Tokens: 1000}},
 			Started: func(at time.Time) { started = at }, Ended: func(time.Time) {},
 		}
 		start := now
@@ -59,7 +59,7 @@
 	now := time.Unix(0, 0)
 	for _, id := range []uint64{1, 2, 3, 1} {
 		job := &Job{
-			Input: 4100, Output: 8, Segments: []berylspoke.Part{{ID: id, Tokens: 4000}, {ID: id << 32, Tokens: 100}},
+			Input: 4100, Output: 8, Segments: []berylspoke.PromptSegment{{ID: id, Tokens: 4000}, {ID: id << 32, Tokens: 100}},
 			Started: func(time.Time) {}, Ended: func(time.Time) {},
 		}
 		require.True(t, engine.Admit(now, job))
--- a/core/berylnode/calls.go
+++ b/core/berylnode/calls.go
@@ -70,7 +70,7 @@
 		node.launch(wait.active)
 	}
 	if refused {
-		node.abandon(now, wait.active, berylspoke.ReasonWitness)
+		node.abandon(now, wait.active, berylspoke.ReasonWitnessUnreachable)
 	}
 }
 
@@ -83,7 +83,7 @@
 		case now.Sub(wait.since) > node.options.PermitTimeout:
 			delete(node.pendingPermits, id)
 			if node.owner.GiveUp(now, id) {
-				node.abandon(now, wait.active, berylspoke.ReasonWitness)
+				node.abandon(now, wait.active, berylspoke.ReasonWitnessUnreachable)
 			}
 		case now.Sub(wait.sent) > resendAfter:
 			wait.sent = now
--- a/core/berylnode/config_test.go
+++ b/core/berylnode/config_test.go
@@ -78,7 +78,7 @@
 		fleet.platformUp, fleet.loss, fleet.visiblePatches = true, 0, len(fleet.patches)
 		fleet.run(10*time.Second, 50*time.Millisecond)
 		for vm, node := range fleet.nodes {
-			if node.Config().Number != berylspoke.EntryNumber(len(fleet.patches)) || !node.Ready() {
+			if node.Config().Number != berylspoke.PatchNumber(len(fleet.patches)) || !node.Ready() {
 				t.Fatalf("%s is at number %d of %d, ready %v", vm, node.Config().Number, len(fleet.patches), node.Ready())
 			}
 		}
--- a/core/berylnode/dump.go
+++ b/core/berylnode/dump.go
@@ -22,7 +22,7 @@
 	Incarnation   string                   `json:"incarnation"`
 	Status        string                   `json:"status"`
 	Leaving       bool                     `json:"leaving"`
-	Number        berylspoke.EntryNumber   `json:"number"`
+	Number        berylspoke.PatchNumber   `json:"number"`
 }
 
 // ServiceState is the state of a service at this daemon.
@@ -45,7 +45,7 @@
 	Time                time.Time                `json:"time"`
 	Ready               bool                     `json:"ready"`
 	Draining            bool                     `json:"draining"`
-	Number              berylspoke.EntryNumber   `json:"number"`
+	Number              berylspoke.PatchNumber   `json:"number"`
 	Version             berylspoke.ConfigVersion `json:"version"`
 	Hash                string                   `json:"hash"`
 	Conflicts           int                      `json:"conflicts"`
--- a/core/berylnode/effects.go
+++ b/core/berylnode/effects.go
@@ -46,7 +46,7 @@
 // Order tells io to send an order to an engine.
 type Order struct {
 	Target berylspoke.TargetID
-	Order  berylspoke.Order
+	Order  berylspoke.EngineOrder
 }
 
 // Effects are the actions that io carries out after an input.
--- a/core/berylnode/fleet_test.go
+++ b/core/berylnode/fleet_test.go
@@ -101,7 +101,7 @@
 }
 
 func (fleet *fakeFleet) publishBody(body []byte) {
-	number := berylspoke.EntryNumber(len(fleet.patches) + 1)
+	number := berylspoke.PatchNumber(len(fleet.patches) + 1)
 	fleet.patches = append(fleet.patches, berylspoke.Published{Number: number, Body: body})
 	fleet.visiblePatches = len(fleet.patches)
 }
--- a/core/berylnode/orders.go
+++ b/core/berylnode/orders.go
@@ -22,7 +22,7 @@
 // engines that check the number refuse an old order. Other engines may still accept a late
 // order from a lessor that was paused; they report the state they hold, and the next
 // comparison corrects it.
-func (node *Node) Compare(now time.Time, id berylspoke.TargetID, held berylspoke.Order) {
+func (node *Node) Compare(now time.Time, id berylspoke.TargetID, held berylspoke.EngineOrder) {
 	target, declared := node.Declarations().Targets[id]
 	if !declared || target.Model == "" || !node.Ready() {
 		return
@@ -36,7 +36,7 @@
 		return
 	}
 	node.lastOrders[id] = orderState{version, now}
-	node.effects.Orders = append(node.effects.Orders, Order{id, berylspoke.Order{
+	node.effects.Orders = append(node.effects.Orders, Order{id, berylspoke.EngineOrder{
 		Fence: version, Model: target.Model, Version: target.Version,
 		Adapters: target.Adapters, Role: target.Role,
 	}})
--- a/core/berylnode/placement.go
+++ b/core/berylnode/placement.go
@@ -81,7 +81,7 @@
 func (node *Node) removeService(now time.Time, service *service) {
 	for id, request := range node.waiting {
 		if request.Service == service.id {
-			node.refuse(now, id, berylspoke.ReasonUnknown, 0)
+			node.refuse(now, id, berylspoke.ReasonUnknownService, 0)
 		}
 	}
 	delete(node.services, service.id)
--- a/core/berylnode/requests.go
+++ b/core/berylnode/requests.go
@@ -33,7 +33,7 @@
 		node.refuse(now, request.Request, berylspoke.ReasonDraining, startingRetryAfter)
 		return
 	case service == nil || !known:
-		node.refuse(now, request.Request, berylspoke.ReasonUnknown, 0)
+		node.refuse(now, request.Request, berylspoke.ReasonUnknownService, 0)
 		return
 	case len(service.lessors.Of) == 0:
 		node.refuse(now, request.Request, berylspoke.ReasonNoTarget, overloadRetryAfter)
@@ -47,7 +47,7 @@
 	}
 	switch {
 	case errors.Is(err, berylshare.ErrOrganisationFull):
-		node.refuse(now, request.Request, berylspoke.ReasonOrganisation, overloadRetryAfter)
+		node.refuse(now, request.Request, berylspoke.ReasonOrganisationLimit, overloadRetryAfter)
 	case err != nil:
 		node.refuse(now, request.Request, berylspoke.ReasonOverload, overloadRetryAfter)
 	default:
--- a/dialect.go
+++ b/dialect.go
@@ -23,38 +23,38 @@
 	Watch(ctx context.Context, prefix string, after Revision, wait time.Duration) ([]Item, Revision, error)
 }
 
-// Part is one segment of a prompt, which other prompts may have as a prefix too.
-type Part struct {
+// PromptSegment is one segment of a prompt, which other prompts may have as a prefix too.
+type PromptSegment struct {
 	ID     uint64
 	Tokens Tokens
 }
 
-// Ask holds what a caller's headers say about its request.
-type Ask struct {
+// RequestInfo holds what a caller's headers say about its request.
+type RequestInfo struct {
 	ID  RequestID
 	Key string
-	// TimeLeft is how much longer the caller waits for the answer.
-	TimeLeft time.Duration
+	// TimeRemaining is how much longer the caller waits for the answer.
+	TimeRemaining time.Duration
 	// Input is the number of tokens in the prompt, Output the maximum to generate.
 	Input, Output Tokens
 	// OutputHint is the caller's estimate of the generated tokens, zero for none.
 	OutputHint Tokens
-	// Parts lists the segments of the prompt in order; the last one belongs to this
+	// Segments lists the segments of the prompt in order; the last one belongs to this
 	// request alone.
-	Parts []Part
+	Segments []PromptSegment
 	// LastEvent is the last event of the stream that the caller has received.
 	LastEvent int64
 }
 
-// Onward holds what a daemon adds to the caller's headers when it forwards a request to
-// a target.
-type Onward struct {
-	TimeLeft     time.Duration
-	Target       TargetID
-	Organisation OrganisationID
-	// Source is the address of the engine to fetch the KV cache of shared prefix
+// ForwardInfo holds what a daemon adds to the caller's headers when it forwards a request
+// to a target.
+type ForwardInfo struct {
+	TimeRemaining time.Duration
+	Target        TargetID
+	Organisation  OrganisationID
+	// CacheSource is the address of the engine to fetch the KV cache of shared prefix
 	// segments from, empty for none.
-	Source string
+	CacheSource string
 	// Resume is set if the stream continues after LastEvent.
 	Resume    bool
 	LastEvent int64
@@ -65,8 +65,8 @@
 	Running, Waiting, Slots int
 }
 
-// Reply holds what the headers of a target's answer say.
-type Reply struct {
+// ResponseInfo holds what the headers of a target's answer say.
+type ResponseInfo struct {
 	ID RequestID
 	// Sealed answers carry the proof that a target produced them.
 	Sealed bool
@@ -81,25 +81,25 @@
 	// Prefixes returns the key prefixes below which the configuration and the targets
 	// are published.
 	Prefixes() (configuration, targets string)
-	// Ask parses a caller's headers.
-	Ask(header http.Header) (Ask, error)
+	// ParseRequest parses a caller's headers.
+	ParseRequest(header http.Header) (RequestInfo, error)
 	// Peek extracts the key and the token counts from the first bytes of a request that
 	// has not been parsed. Fields whose header is not within these bytes stay zero.
-	Peek(head []byte) Ask
-	// Onward returns the headers to send to a target, made from the caller's.
-	Onward(header http.Header, info Onward) http.Header
-	// Reply parses the headers of a target's answer.
-	Reply(status int, header http.Header) Reply
-	// Back copies the headers of a target's answer that concern the caller.
-	Back(header, received http.Header)
-	// Name sets the header that holds the request id in an answer that the daemon
+	Peek(head []byte) RequestInfo
+	// ForwardHeaders returns the headers to send to a target, made from the caller's.
+	ForwardHeaders(header http.Header, info ForwardInfo) http.Header
+	// ParseResponse parses the headers of a target's answer.
+	ParseResponse(status int, header http.Header) ResponseInfo
+	// CopyResponseHeaders copies the headers of a target's answer that concern the caller.
+	CopyResponseHeaders(header, received http.Header)
+	// SetRequestID sets the header that holds the request id in an answer that the daemon
 	// itself gives.
-	Name(header http.Header, id RequestID)
+	SetRequestID(header http.Header, id RequestID)
 	// Catalog decodes the configuration; it returns nil if none is published.
 	Catalog(items []Item) (*Catalog, error)
-	// Emptied returns the failure domains that operators evacuate, from the items of
+	// Evacuated returns the failure domains that operators evacuate, from the items of
 	// the configuration. Their targets get no new requests.
-	Emptied(items []Item) []FailureDomain
+	Evacuated(items []Item) []FailureDomain
 	// Target decodes one published target. An error means that the item does not
 	// describe a target.
 	Target(item Item) (Target, error)
--- a/ids.go
+++ b/ids.go
@@ -89,8 +89,8 @@
 // ConfigVersion counts accepted patches.
 type ConfigVersion uint64
 
-// EntryNumber is the position of a patch in the platform's log.
-type EntryNumber uint64
+// PatchNumber is the position of a patch in the platform's log.
+type PatchNumber uint64
 
 // Host returns the host of a VM whose id is an address, and any other id as it is.
 func (vm VMID) Host() string {
--- a/interfaces.go
+++ b/interfaces.go
@@ -20,7 +20,7 @@
 
 // Published is one patch as published by the platform.
 type Published struct {
-	Number EntryNumber
+	Number PatchNumber
 	Body   []byte
 }
 
@@ -36,7 +36,7 @@
 // Platform reads what the platform publishes. Its methods block until there is an
 // update, the context ends or the platform fails.
 type Platform interface {
-	Patches(ctx context.Context, after EntryNumber) ([]Published, error)
+	Patches(ctx context.Context, after PatchNumber) ([]Published, error)
 	VMs(ctx context.Context, after uint64) ([]VM, uint64, error)
 }
 
@@ -48,8 +48,9 @@
 	End    bool
 }
 
-// Draft is a request to a model engine for a stream that starts after Offset tokens.
-type Draft struct {
+// GenerationRequest is a request to a model engine for a stream that starts after Offset
+// tokens.
+type GenerationRequest struct {
 	Request   RequestID
 	Prompt    string
 	MaxTokens Tokens
@@ -58,18 +59,18 @@
 
 // Call is a request to a plain service.
 type Call struct {
-	Request RequestID
-	Method  string
-	Path    string
-	Type    string
-	Body    []byte
+	Request     RequestID
+	Method      string
+	Path        string
+	ContentType string
+	Body        []byte
 }
 
 // Answer is the answer of a plain service.
 type Answer struct {
-	Status int
-	Type   string
-	Body   []byte
+	Status      int
+	ContentType string
+	Body        []byte
 }
 
 // LoadReport is the load that a target reports. It is older than its arrival by the lag
@@ -82,15 +83,15 @@
 // Targets sends requests to back ends. Errors that concern a request carry its verdict,
 // see VerdictOf.
 type Targets interface {
-	Stream(ctx context.Context, target TargetID, draft Draft, sink func(Chunk) error) error
+	Stream(ctx context.Context, target TargetID, generation GenerationRequest, sink func(Chunk) error) error
 	Call(ctx context.Context, target TargetID, call Call) (Answer, error)
 	Load(ctx context.Context, target TargetID) (LoadReport, error)
-	Order(ctx context.Context, target TargetID, order Order) error
+	Order(ctx context.Context, target TargetID, order EngineOrder) error
 }
 
-// Order instructs an engine to serve a version of a model with adapters in a role. Fence
-// is the fencing number by which an engine detects an outdated order.
-type Order struct {
+// EngineOrder instructs an engine to serve a version of a model with adapters in a role.
+// Fence is the fencing number by which an engine detects an outdated order.
+type EngineOrder struct {
 	Fence    uint64   `json:"fence"`
 	Model    string   `json:"model"`
 	Version  string   `json:"version"`
--- a/io/berylcall/generation.go
+++ b/io/berylcall/generation.go
@@ -81,7 +81,7 @@
 	var failure *Failure
 	if errors.As(err, &failure) {
 		switch failure.Reason {
-		case berylspoke.ReasonMalformed, berylspoke.ReasonUnauthorised, berylspoke.ReasonUnknown, berylspoke.ReasonTicket:
+		case berylspoke.ReasonMalformed, berylspoke.ReasonUnauthorised, berylspoke.ReasonUnknownService, berylspoke.ReasonTicketRequired:
 			return false
 		}
 		delay = max(failure.RetryAfter, delay)
--- a/io/beryledge/actor.go
+++ b/io/beryledge/actor.go
@@ -130,7 +130,7 @@
 	core.table.Join(now, settings.Seeds)
 	for name := range core.feeds {
 		core.feeds[name] = berylfeed.New()
-		core.feeds[name].SetPatience(maxContactAge + firstAnswerDelay)
+		core.feeds[name].SetOutageThreshold(maxContactAge + firstAnswerDelay)
 	}
 	return core
 }
@@ -205,7 +205,7 @@
 func (core *core) report(now time.Time) {
 	report := core.gate.Report(now)
 	for _, feed := range core.feeds {
-		report.Feeds = append(report.Feeds, feed.Last())
+		report.Feeds = append(report.Feeds, feed.LastChange())
 	}
 	contact := core.newestContact(now)
 	report.Contact, report.ContactID = contact.Age, contact.ID
@@ -224,7 +224,7 @@
 // answer was still recent, the others noticed a silent store twice as late and sent
 // requests to targets that had left.
 func (core *core) newestContact(now time.Time) berylfeed.Contact {
-	core.contacts.Own(core.ownContact())
+	core.contacts.RecordOwn(core.ownContact())
 	return core.contacts.Contact(now, unknownContactAge)
 }
 
@@ -242,10 +242,10 @@
 
 // observeContact records the newest answer of the store that a peer reports.
 func (core *core) observeContact(now time.Time, contact berylfeed.Contact) {
-	core.contacts.Heard(now, contact)
+	core.contacts.Receive(now, contact)
 	newest := core.contacts.Newest()
 	for _, feed := range core.feeds {
-		feed.Reached(now, newest)
+		feed.AnsweredAny(now, newest)
 	}
 	if newest.UnixNano() > core.daemon.lastContact.Load() {
 		core.daemon.lastContact.Store(newest.UnixNano())
--- a/io/beryledge/admission.go
+++ b/io/beryledge/admission.go
@@ -43,7 +43,7 @@
 	waiters    map[beryladmission.Ticket]waiter
 	lastTicket beryladmission.Ticket
 	// rejected are the tokens of requests rejected since the last collection, by cause.
-	rejected [beryladmission.Causes]map[berylspoke.OrganisationID]berylspoke.Tokens
+	rejected [beryladmission.CauseCount]map[berylspoke.OrganisationID]berylspoke.Tokens
 	// undecided are the tokens of requests that are admitted but not yet decided by the
 	// gate.
 	undecided map[berylspoke.OrganisationID]berylspoke.Tokens
@@ -99,7 +99,7 @@
 		}
 		admission.change(func(now time.Time) beryladmission.Change {
 			admission.woken = false
-			return admission.queue.Next(now)
+			return admission.queue.AdmitNext(now)
 		})
 	}
 }
@@ -185,7 +185,7 @@
 // was parsed.
 func (admission *admission) acquireSlot(demand demand) *slot {
 	admission.mutex.Lock()
-	admission.queue.Begin()
+	admission.queue.Acquire()
 	admission.mutex.Unlock()
 	return admission.newSlot(demand)
 }
@@ -196,7 +196,7 @@
 		if admission.undecided[demand.organisation] -= demand.tokens; admission.undecided[demand.organisation] <= 0 {
 			delete(admission.undecided, demand.organisation)
 		}
-		admission.queue.Done()
+		admission.queue.Release()
 		return beryladmission.Change{}
 	})
 }
@@ -311,8 +311,8 @@
 }
 
 // rejectionReasons are the reasons in the answers to rejected requests.
-var rejectionReasons = [beryladmission.Causes]berylspoke.Reason{
-	beryladmission.Overload: berylspoke.ReasonProcessor,
+var rejectionReasons = [beryladmission.CauseCount]berylspoke.Reason{
+	beryladmission.Overload: berylspoke.ReasonCPUStarved,
 	beryladmission.OverCap:  berylspoke.ReasonOverload,
 }
 
--- a/io/beryledge/attempt.go
+++ b/io/beryledge/attempt.go
@@ -63,16 +63,16 @@
 	if exchange.Opened > 0 {
 		call.daemon.send(connectTimed{target.ID, exchange.Opened})
 	}
-	reply := call.daemon.dialect.Reply(exchange.Response.StatusCode, exchange.Response.Header)
-	if reply.NotRun {
+	info := call.daemon.dialect.ParseResponse(exchange.Response.StatusCode, exchange.Response.Header)
+	if info.NotRun {
 		call.drain(exchange)
 		call.endAttempt(decision, berylgate.Turned, nil)
 		return false
 	}
 	if call.route.Kind == berylspoke.Streaming && exchange.Response.StatusCode == http.StatusOK {
-		return call.forwardStream(decision, exchange, reply)
+		return call.forwardStream(decision, exchange, info)
 	}
-	return call.forwardAnswer(decision, exchange, reply)
+	return call.forwardAnswer(decision, exchange, info)
 }
 
 // withTimeoutCause adds the first-byte timeout to the error of an attempt that it ended.
@@ -143,7 +143,7 @@
 	if call.stream.started {
 		call.abortStream()
 	}
-	call.answer(http.StatusBadGateway, berylspoke.ReasonTarget, 0)
+	call.answer(http.StatusBadGateway, berylspoke.ReasonTargetFailed, 0)
 	return true
 }
 
@@ -155,7 +155,7 @@
 		zap.String("target", string(decision.Target.ID)), zap.Stringer("outcome", outcome),
 		zap.Duration("expected", decision.Expected), zap.Float64("over", decision.Over),
 		zap.Float64("queue", decision.Queue), zap.Float64("pace", decision.Pace),
-		zap.Int64("input", int64(call.ask.Input)), zap.Int64("output", int64(call.request.Output)),
+		zap.Int64("input", int64(call.info.Input)), zap.Int64("output", int64(call.request.Output)),
 		zap.Int64("shared", int64(decision.Shared)), zap.Int64("kept", int64(decision.Kept)),
 		zap.Int("running", decision.Running),
 	}
@@ -174,14 +174,14 @@
 // outgoing builds the request to a target. Path and query are the caller's, byte for
 // byte.
 func (call *call) outgoing(decision berylgate.Decision) *http.Request {
-	onward := berylspoke.Onward{
-		TimeLeft: time.Until(call.request.Deadline), Target: decision.Target.ID, Organisation: call.organisation,
+	forward := berylspoke.ForwardInfo{
+		TimeRemaining: time.Until(call.request.Deadline), Target: decision.Target.ID, Organisation: call.organisation,
 		Resume: call.stream.started, LastEvent: call.stream.last,
 	}
 	if decision.Source != nil {
-		onward.Source = decision.Source.Address
+		forward.CacheSource = decision.Source.Address
 	}
-	header := call.daemon.dialect.Onward(call.incoming.Header, onward)
+	header := call.daemon.dialect.ForwardHeaders(call.incoming.Header, forward)
 	if _, stated := header["User-Agent"]; !stated {
 		header["User-Agent"] = []string{""}
 	}
@@ -202,14 +202,14 @@
 // answersRequest reports whether an answer belongs to this request. A refusal without an
 // id does too, as a target may refuse before it has read the id.
 func (call *call) answersRequest(response *http.Response) bool {
-	reply := call.daemon.dialect.Reply(response.StatusCode, response.Header)
-	return reply.ID == call.ask.ID || reply.ID == "" && !reply.Sealed
+	info := call.daemon.dialect.ParseResponse(response.StatusCode, response.Header)
+	return info.ID == call.info.ID || info.ID == "" && !info.Sealed
 }
 
 // noteFirstByte reports the first byte of an answer to the core.
-func (call *call) noteFirstByte(reply berylspoke.Reply) {
+func (call *call) noteFirstByte(info berylspoke.ResponseInfo) {
 	call.firstByte = time.Since(call.sent)
-	call.daemon.send(answerStarted{call.request, reply.Load})
+	call.daemon.send(answerStarted{call.request, info.Load})
 }
 
 // drain reads the rest of a small answer so that its connection can be reused.
@@ -225,12 +225,12 @@
 
 // forwardAnswer forwards an answer once it is complete, so that a truncated one never
 // reaches the caller.
-func (call *call) forwardAnswer(decision berylgate.Decision, exchange *berylconn.Exchange, reply berylspoke.Reply) bool {
-	call.noteFirstByte(reply)
+func (call *call) forwardAnswer(decision berylgate.Decision, exchange *berylconn.Exchange, info berylspoke.ResponseInfo) bool {
+	call.noteFirstByte(info)
 	response := exchange.Response
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
 	if err == nil {
-		err = checkAnswer(response, reply)
+		err = checkAnswer(response, info)
 	}
 	if err != nil {
 		exchange.Discard()
@@ -273,9 +273,9 @@
 }
 
 // checkAnswer returns an error if an answer does not prove to be the target's own.
-func checkAnswer(response *http.Response, reply berylspoke.Reply) error {
+func checkAnswer(response *http.Response, info berylspoke.ResponseInfo) error {
 	switch status := response.StatusCode; {
-	case !reply.Sealed:
+	case !info.Sealed:
 		return errors.Errorf("answer %d without the target's seal", status)
 	case response.Header.Get("Content-Encoding") != "":
 		return errors.New("answer has a Content-Encoding that was not requested")
@@ -291,7 +291,7 @@
 func (call *call) copyHeader(response *http.Response) {
 	header := call.writer.Header()
 	closing := header["Connection"]
-	call.daemon.dialect.Back(header, response.Header)
+	call.daemon.dialect.CopyResponseHeaders(header, response.Header)
 	if closing != nil {
 		header["Connection"] = closing
 	}
--- a/io/beryledge/callers.go
+++ b/io/beryledge/callers.go
@@ -34,7 +34,7 @@
 	daemon   *Daemon
 	writer   http.ResponseWriter
 	incoming *http.Request
-	ask      berylspoke.Ask
+	info      berylspoke.RequestInfo
 	route    *berylspoke.Route
 	// organisation is the one whose share the request is charged to.
 	organisation berylspoke.OrganisationID
@@ -87,7 +87,7 @@
 // prepare finds the route and the organisation of the request, or refuses it.
 func (call *call) prepare(index *berylcatalog.Index) bool {
 	var err error
-	call.ask, err = call.daemon.dialect.Ask(call.incoming.Header)
+	call.info, err = call.daemon.dialect.ParseRequest(call.incoming.Header)
 	if index == nil {
 		call.refuse(http.StatusServiceUnavailable, berylspoke.ReasonStarting, startingRetryAfter)
 		return false
@@ -98,12 +98,12 @@
 	}
 	path, _, _ := strings.Cut(call.incoming.RequestURI, "?")
 	if call.route = index.Route(call.incoming.Host, path); call.route == nil {
-		call.refuse(http.StatusNotFound, berylspoke.ReasonUnknown, 0)
+		call.refuse(http.StatusNotFound, berylspoke.ReasonUnknownService, 0)
 		return false
 	}
 	known := false
-	if call.ask.Key != "" {
-		call.organisation, known = index.Organisation(call.ask.Key)
+	if call.info.Key != "" {
+		call.organisation, known = index.Organisation(call.info.Key)
 	}
 	if !known && !call.route.Anonymous {
 		call.refuse(http.StatusUnauthorized, berylspoke.ReasonUnauthorised, 0)
@@ -118,19 +118,19 @@
 }
 
 func (call *call) newRequest(index *berylcatalog.Index) *berylgate.Request {
-	wait := call.ask.TimeLeft
+	wait := call.info.TimeRemaining
 	if wait == 0 {
 		wait = defaultWait
 	}
 	if call.route.Timeout > 0 {
 		wait = min(wait, call.route.Timeout)
 	}
-	attempts := call.route.Attempts
+	attempts := call.route.MaxAttempts
 	if !call.repeatable() {
 		attempts = max(attempts, 1)
 	}
-	output := call.ask.Output
-	if hint := call.ask.OutputHint; hint > 0 && hint < output {
+	output := call.info.Output
+	if hint := call.info.OutputHint; hint > 0 && hint < output {
 		output = hint
 	}
 	bodyLimit := index.Catalog().Limits.BodyBytes
@@ -139,10 +139,10 @@
 	}
 	call.incoming.Body = http.MaxBytesReader(call.writer, call.incoming.Body, bodyLimit)
 	return &berylgate.Request{
-		ID: call.ask.ID, Service: berylcatalog.Service(call.route, call.ask.ID), Organisation: call.organisation,
+		ID: call.info.ID, Service: berylcatalog.PickService(call.route, call.info.ID), Organisation: call.organisation,
 		Kind: call.route.Kind, Arrived: call.arrived, Objective: call.route.Objective,
 		Deadline: call.arrived.Add(wait), Attempts: attempts,
-		Input: call.ask.Input, Output: output, Parts: call.ask.Parts,
+		Input: call.info.Input, Output: output, Parts: call.info.Segments,
 		Regions: index.Regions(call.route, call.organisation),
 	}
 }
@@ -224,7 +224,7 @@
 		zap.Duration("limit", decision.Limit), zap.Float64("over", decision.Over),
 		zap.Float64("queue", decision.Queue), zap.Float64("pace", decision.Pace),
 		zap.Int("running", decision.Running), zap.Int64("tokens", int64(decision.Tokens)),
-		zap.Int64("input", int64(call.ask.Input)), zap.Int64("output", int64(call.request.Output)),
+		zap.Int64("input", int64(call.info.Input)), zap.Int64("output", int64(call.request.Output)),
 		zap.Float64("asked", decision.Share.Asked), zap.Float64("given", decision.Share.Given),
 		zap.Float64("level", decision.Share.Level), zap.Float64("cap", decision.Share.Cap),
 	}
@@ -278,14 +278,14 @@
 // answer sends an error answer of the daemon itself.
 func (call *call) answer(status int, reason berylspoke.Reason, retryAfter time.Duration) {
 	header := call.writer.Header()
-	call.daemon.dialect.Name(header, call.ask.ID)
+	call.daemon.dialect.SetRequestID(header, call.info.ID)
 	if retryAfter > 0 {
 		header.Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', 2, 64))
 	}
 	// A caller that was served keeps its connection even while the CPU pressure is high,
 	// as a new connection costs half as much as a request. A caller that was refused
 	// would retry only to be refused again, which costs less on a new connection.
-	if call.daemon.tooManyConns() || call.daemon.pressure.high() || reason == berylspoke.ReasonProcessor {
+	if call.daemon.tooManyConns() || call.daemon.pressure.high() || reason == berylspoke.ReasonCPUStarved {
 		header.Set("Connection", "close")
 	}
 	header.Set("Content-Type", "text/plain; charset=utf-8")
@@ -301,7 +301,7 @@
 		service = call.request.Service
 	}
 	call.daemon.log.Info(message, append(fields,
-		zap.String("request", string(call.ask.ID)), zap.String("organisation", string(call.organisation)),
+		zap.String("request", string(call.info.ID)), zap.String("organisation", string(call.organisation)),
 		zap.String("service", string(service)), zap.Duration("after", time.Since(call.arrived)))...)
 }
 
--- a/io/beryledge/fakes_test.go
+++ b/io/beryledge/fakes_test.go
@@ -31,43 +31,43 @@
 
 func (testDialect) Prefixes() (string, string) { return "c/", "t/" }
 
-func (testDialect) Ask(header http.Header) (berylspoke.Ask, error) {
-	ask := berylspoke.Ask{ID: berylspoke.RequestID(header.Get("X-Id")), Key: header.Get("X-Key")}
-	if ask.ID == "" {
-		return ask, errors.New("request has no id")
+func (testDialect) ParseRequest(header http.Header) (berylspoke.RequestInfo, error) {
+	info := berylspoke.RequestInfo{ID: berylspoke.RequestID(header.Get("X-Id")), Key: header.Get("X-Key")}
+	if info.ID == "" {
+		return info, errors.New("request has no id")
 	}
 	millis, _ := strconv.Atoi(header.Get("X-Left"))
-	ask.TimeLeft = time.Duration(millis) * time.Millisecond
-	ask.Input, ask.Output = 100, 10
-	return ask, nil
+	info.TimeRemaining = time.Duration(millis) * time.Millisecond
+	info.Input, info.Output = 100, 10
+	return info, nil
 }
 
-func (testDialect) Peek(head []byte) berylspoke.Ask {
+func (testDialect) Peek(head []byte) berylspoke.RequestInfo {
 	_, rest, _ := bytes.Cut(head, []byte("\r\nX-Key: "))
 	key, _, _ := bytes.Cut(rest, lineEnd)
-	return berylspoke.Ask{Key: string(key), Input: 100, Output: 10}
+	return berylspoke.RequestInfo{Key: string(key), Input: 100, Output: 10}
 }
 
-func (testDialect) Onward(header http.Header, onward berylspoke.Onward) http.Header {
+func (testDialect) ForwardHeaders(header http.Header, forward berylspoke.ForwardInfo) http.Header {
 	sent := header.Clone()
 	sent.Del("X-Key")
-	sent.Set("X-Left", strconv.FormatInt(onward.TimeLeft.Milliseconds(), 10))
-	sent.Set("X-Target", string(onward.Target))
-	sent.Set("X-Organisation", string(onward.Organisation))
-	if onward.Resume {
-		sent.Set("X-Last", strconv.FormatInt(onward.LastEvent, 10))
+	sent.Set("X-Left", strconv.FormatInt(forward.TimeRemaining.Milliseconds(), 10))
+	sent.Set("X-Target", string(forward.Target))
+	sent.Set("X-Organisation", string(forward.Organisation))
+	if forward.Resume {
+		sent.Set("X-Last", strconv.FormatInt(forward.LastEvent, 10))
 	}
 	return sent
 }
 
-func (testDialect) Reply(_ int, header http.Header) berylspoke.Reply {
-	return berylspoke.Reply{
+func (testDialect) ParseResponse(_ int, header http.Header) berylspoke.ResponseInfo {
+	return berylspoke.ResponseInfo{
 		ID:     berylspoke.RequestID(header.Get("X-Id")),
 		Sealed: header.Get("X-Seal") != "", NotRun: header.Get("X-Not-Run") != "",
 	}
 }
 
-func (testDialect) Back(header, received http.Header) {
+func (testDialect) CopyResponseHeaders(header, received http.Header) {
 	for _, name := range []string{"X-Id", "X-Seal", "Content-Type"} {
 		if value := received.Get(name); value != "" {
 			header.Set(name, value)
@@ -75,9 +75,11 @@
 	}
 }
 
-func (testDialect) Name(header http.Header, id berylspoke.RequestID) { header.Set("X-Id", string(id)) }
+func (testDialect) SetRequestID(header http.Header, id berylspoke.RequestID) {
+	header.Set("X-Id", string(id))
+}
 
-func (testDialect) Emptied(items []berylspoke.Item) []berylspoke.FailureDomain {
+func (testDialect) Evacuated(items []berylspoke.Item) []berylspoke.FailureDomain {
 	var domains []berylspoke.FailureDomain
 	for _, item := range items {
 		if domain, found := strings.CutPrefix(item.Key, "c/empty/"); found {
@@ -224,7 +226,7 @@
 	route := func(path string, kind berylspoke.Kind, service berylspoke.ServiceID, attempts int) berylspoke.Route {
 		return berylspoke.Route{
 			Name: path, Host: "h.example", Prefix: "/" + path + "/", Kind: kind, Resumable: path == "resume",
-			Timeout: 5 * time.Second, Objective: 2 * time.Second, Attempts: attempts,
+			Timeout: 5 * time.Second, Objective: 2 * time.Second, MaxAttempts: attempts,
 			Shares: []berylspoke.Share{{Service: service, Weight: 1}},
 		}
 	}
@@ -235,7 +237,7 @@
 		},
 		Services: map[berylspoke.ServiceID]berylspoke.Service{
 			"desk":    {ID: "desk", MaxConnections: 100},
-			"engines": {ID: "engines", MaxConnections: 100, Engine: &berylspoke.EngineSpec{Slots: 8, Memory: 100_000}},
+			"engines": {ID: "engines", MaxConnections: 100, Engine: &berylspoke.EngineSpec{Slots: 8, CacheCapacity: 100_000}},
 		},
 		Organisations: []berylspoke.Organisation{{ID: "clergy", Keys: []string{"k"}}, {ID: "union", Keys: []string{"u"}}},
 		Limits:        berylspoke.Limits{BodyBytes: 1 << 20, TokensPerSecond: 100_000},
--- a/io/beryledge/feeds.go
+++ b/io/beryledge/feeds.go
@@ -52,7 +52,7 @@
 	if feed.Answered(now) {
 		core.daemon.log.Info("store is reachable again", zap.Uint8("feed", uint8(message.feed)), zap.Uint64("asOf", uint64(message.asOf)))
 	}
-	change := feed.Change
+	change := feed.ApplyChanges
 	if message.full {
 		change = feed.Replace
 	}
@@ -85,7 +85,7 @@
 func (core *core) refreshEvacuated(now time.Time) {
 	items, _ := core.feeds[berylfeed.Configuration].Items(now)
 	evacuated := make(map[berylspoke.FailureDomain]bool)
-	for _, domain := range core.daemon.dialect.Emptied(items) {
+	for _, domain := range core.daemon.dialect.Evacuated(items) {
 		evacuated[domain] = true
 	}
 	if maps.Equal(evacuated, core.evacuated) {
@@ -126,8 +126,8 @@
 			core.daemon.log.Debug("ignoring a published item that names no target", cause(err))
 			continue
 		}
-		target.Leaving = target.Leaving || core.evacuated[target.FailureDomain]
-		if !target.Leaving {
+		target.Draining = target.Draining || core.evacuated[target.FailureDomain]
+		if !target.Draining {
 			accepting[target.ID] = true
 		}
 		targets = append(targets, target)
--- a/io/beryledge/listener.go
+++ b/io/beryledge/listener.go
@@ -292,9 +292,9 @@
 	if index == nil {
 		return demand{}
 	}
-	ask := daemon.dialect.Peek(head)
-	organisation, _ := index.Organisation(ask.Key)
-	return newDemand(organisation, ask.Input, ask.Output, index.Route(routeOf(head)))
+	info := daemon.dialect.Peek(head)
+	organisation, _ := index.Organisation(info.Key)
+	return newDemand(organisation, info.Input, info.Output, index.Route(routeOf(head)))
 }
 
 // routeOf returns the host and the path of an unparsed request, empty if they are not
--- a/io/beryledge/members.go
+++ b/io/beryledge/members.go
@@ -59,7 +59,7 @@
 	}
 	for _, feed := range core.feeds {
 		// If all watchers are cut off, the others read the store after this time.
-		feed.SetPatience(core.daemon.contactAgeLimit() + firstAnswerDelay)
+		feed.SetOutageThreshold(core.daemon.contactAgeLimit() + firstAnswerDelay)
 	}
 	live := len(core.table.Live())
 	core.gate.SetDaemons(now, live)
--- a/io/beryledge/overload_test.go
+++ b/io/beryledge/overload_test.go
@@ -36,9 +36,9 @@
 	processor *fakeProcessor
 }
 
-func (dialect costlyDialect) Onward(header http.Header, onward berylspoke.Onward) http.Header {
+func (dialect costlyDialect) ForwardHeaders(header http.Header, forward berylspoke.ForwardInfo) http.Header {
 	dialect.processor.use()
-	return dialect.testDialect.Onward(header, onward)
+	return dialect.testDialect.ForwardHeaders(header, forward)
 }
 
 // contend makes the daemon's decisions wait for the processor too.
--- a/io/beryledge/rejection_test.go
+++ b/io/beryledge/rejection_test.go
@@ -23,9 +23,9 @@
 	parsed *atomic.Int64
 }
 
-func (dialect countingDialect) Ask(header http.Header) (berylspoke.Ask, error) {
+func (dialect countingDialect) ParseRequest(header http.Header) (berylspoke.RequestInfo, error) {
 	dialect.parsed.Add(1)
-	return dialect.testDialect.Ask(header)
+	return dialect.testDialect.ParseRequest(header)
 }
 
 // holdSlots takes all slots of the admission queue and returns a function that releases
--- a/io/beryledge/stream.go
+++ b/io/beryledge/stream.go
@@ -43,13 +43,13 @@
 // forwardStream forwards the events of an answer as they arrive, but only complete ones:
 // an engine may fail in the middle of an event, and the stream is then resumed at
 // another engine after the last complete one.
-func (call *call) forwardStream(decision berylgate.Decision, exchange *berylconn.Exchange, reply berylspoke.Reply) bool {
-	if err := checkAnswer(exchange.Response, reply); err != nil {
+func (call *call) forwardStream(decision berylgate.Decision, exchange *berylconn.Exchange, info berylspoke.ResponseInfo) bool {
+	if err := checkAnswer(exchange.Response, info); err != nil {
 		exchange.Discard()
 		return call.answerFailed(decision, err)
 	}
 	call.mayHaveRun = true
-	err := call.copyEvents(exchange, reply)
+	err := call.copyEvents(exchange, info)
 	if err != nil {
 		exchange.Discard()
 		return call.answerFailed(decision, err)
@@ -64,7 +64,7 @@
 
 // copyEvents forwards the events of an answer. It returns nil once the answer has ended
 // as its framing requires.
-func (call *call) copyEvents(exchange *berylconn.Exchange, reply berylspoke.Reply) error {
+func (call *call) copyEvents(exchange *berylconn.Exchange, info berylspoke.ResponseInfo) error {
 	buffer := make([]byte, 0, initialBufferBytes)
 	first := true
 	for {
@@ -81,7 +81,7 @@
 			if call.stream.firstByteTimer != nil {
 				call.stream.firstByteTimer.Stop()
 			}
-			call.noteFirstByte(reply)
+			call.noteFirstByte(info)
 		}
 		if end := bytes.LastIndex(buffer, eventEnd); end >= 0 {
 			complete := buffer[:end+len(eventEnd)]
--- a/io/berylpeer/peer_test.go
+++ b/io/berylpeer/peer_test.go
@@ -170,7 +170,7 @@
 	locator := locations{"left": left, "right": front}
 	sender, _ := listen(t, "left", left, fleetKey, locator)
 	_, inbox := listen(t, "right", right, fleetKey, locator)
-	number := berylspoke.EntryNumber(0)
+	number := berylspoke.PatchNumber(0)
 	arrives := func() bool {
 		number++
 		sender.Send("right", berylconfig.PullRequest{After: number})
--- a/io/berylpeer/wire.go
+++ b/io/berylpeer/wire.go
@@ -61,7 +61,7 @@
 
 func (wire *wireHeartbeat) message(from berylspoke.VMID) berylspoke.Message {
 	heartbeat := berylmember.Heartbeat{
-		Self: wire.Self.rumour(), Number: berylspoke.EntryNumber(wire.ConfigNumber),
+		Self: wire.Self.rumour(), Number: berylspoke.PatchNumber(wire.ConfigNumber),
 		Serving: wire.Serving, Sync: wire.Sync, Digest: wire.Digest,
 	}
 	heartbeat.Self.Process.VM = from
@@ -77,7 +77,7 @@
 }
 
 func (wire *wirePullRequest) message(berylspoke.VMID) berylspoke.Message {
-	return berylconfig.PullRequest{After: berylspoke.EntryNumber(wire.After)}
+	return berylconfig.PullRequest{After: berylspoke.PatchNumber(wire.After)}
 }
 
 type wireEntry struct {
@@ -96,11 +96,11 @@
 
 func (wire *wirePullAnswer) message(berylspoke.VMID) berylspoke.Message {
 	answer := berylconfig.PullAnswer{
-		Number: berylspoke.EntryNumber(wire.Number), Serving: wire.Serving, Snapshot: wire.Snapshot,
+		Number: berylspoke.PatchNumber(wire.Number), Serving: wire.Serving, Snapshot: wire.Snapshot,
 	}
 	for _, entry := range wire.Entries {
 		answer.Entries = append(answer.Entries, berylspoke.Published{
-			Number: berylspoke.EntryNumber(entry.Number), Body: entry.Body,
+			Number: berylspoke.PatchNumber(entry.Number), Body: entry.Body,
 		})
 	}
 	return answer
--- a/io/berylplatform/client.go
+++ b/io/berylplatform/client.go
@@ -60,7 +60,7 @@
 
 // Patches returns the patches published after the given number. It waits for one, up to
 // watchWait.
-func (client *Client) Patches(ctx context.Context, after berylspoke.EntryNumber) ([]berylspoke.Published, error) {
+func (client *Client) Patches(ctx context.Context, after berylspoke.PatchNumber) ([]berylspoke.Published, error) {
 	var response wirePatches
 	path := fmt.Sprintf("/v1/patches?after=%d&waitMs=%d", after, watchWait.Milliseconds())
 	if err := client.get(ctx, path, &response); err != nil {
@@ -68,7 +68,7 @@
 	}
 	patches := make([]berylspoke.Published, len(response.Patches))
 	for i, patch := range response.Patches {
-		patches[i] = berylspoke.Published{Number: berylspoke.EntryNumber(patch.Number), Body: patch.Body}
+		patches[i] = berylspoke.Published{Number: berylspoke.PatchNumber(patch.Number), Body: patch.Body}
 	}
 	return patches, nil
 }
--- a/io/berylserve/actor.go
+++ b/io/berylserve/actor.go
@@ -64,7 +64,7 @@
 	loadReported struct {
 		target berylspoke.TargetID
 		report berylspoke.LoadReport
-		actual berylspoke.Order
+		actual berylspoke.EngineOrder
 	}
 	// inspect runs a function on the node, for the dump and for goroutines that need
 	// the state of the node.
--- a/io/berylserve/callers.go
+++ b/io/berylserve/callers.go
@@ -124,21 +124,21 @@
 
 // reasonStatus maps the reasons of refusals to HTTP status codes.
 var reasonStatus = map[berylspoke.Reason]int{
-	berylspoke.ReasonUnauthorised:  http.StatusUnauthorized,
-	berylspoke.ReasonMalformed:     http.StatusBadRequest,
-	berylspoke.ReasonTicket:        http.StatusPreconditionRequired,
-	berylspoke.ReasonUnknown:       http.StatusNotFound,
-	berylspoke.ReasonOrganisation:  http.StatusTooManyRequests,
-	berylspoke.ReasonOverload:      http.StatusServiceUnavailable,
-	berylspoke.ReasonStarting:      http.StatusServiceUnavailable,
-	berylspoke.ReasonDraining:      http.StatusServiceUnavailable,
-	berylspoke.ReasonNoTarget:      http.StatusServiceUnavailable,
-	berylspoke.ReasonWitness:       http.StatusServiceUnavailable,
-	berylspoke.ReasonWaitedTooLong: http.StatusServiceUnavailable,
-	berylspoke.ReasonClosed:        http.StatusConflict,
-	berylspoke.ReasonForgotten:     http.StatusGone,
-	berylspoke.ReasonOwnerLost:     http.StatusBadGateway,
-	berylspoke.ReasonTarget:        http.StatusBadGateway,
+	berylspoke.ReasonUnauthorised:       http.StatusUnauthorized,
+	berylspoke.ReasonMalformed:          http.StatusBadRequest,
+	berylspoke.ReasonTicketRequired:     http.StatusPreconditionRequired,
+	berylspoke.ReasonUnknownService:     http.StatusNotFound,
+	berylspoke.ReasonOrganisationLimit:  http.StatusTooManyRequests,
+	berylspoke.ReasonOverload:           http.StatusServiceUnavailable,
+	berylspoke.ReasonStarting:           http.StatusServiceUnavailable,
+	berylspoke.ReasonDraining:           http.StatusServiceUnavailable,
+	berylspoke.ReasonNoTarget:           http.StatusServiceUnavailable,
+	berylspoke.ReasonWitnessUnreachable: http.StatusServiceUnavailable,
+	berylspoke.ReasonWaitedTooLong:      http.StatusServiceUnavailable,
+	berylspoke.ReasonClosed:             http.StatusConflict,
+	berylspoke.ReasonOutcomeForgotten:   http.StatusGone,
+	berylspoke.ReasonOwnerUnreachable:   http.StatusBadGateway,
+	berylspoke.ReasonTargetFailed:       http.StatusBadGateway,
 }
 
 func failureBody(refusal *berylspoke.Refusal) wireFailure {
@@ -180,7 +180,7 @@
 	if errors.As(err, &refusal) {
 		return refusal
 	}
-	return &berylspoke.Refusal{Verdict: berylspoke.MayHaveRun, Reason: berylspoke.ReasonTarget, Cause: err}
+	return &berylspoke.Refusal{Verdict: berylspoke.MayHaveRun, Reason: berylspoke.ReasonTargetFailed, Cause: err}
 }
 
 func (daemon *Daemon) serveResolve(writer http.ResponseWriter, request *http.Request, from caller) {
--- a/io/berylserve/calls.go
+++ b/io/berylserve/calls.go
@@ -34,7 +34,7 @@
 func (daemon *Daemon) serveCall(writer http.ResponseWriter, request *http.Request, from caller) {
 	service := berylspoke.ServiceID(request.PathValue("service"))
 	if daemon.Declarations().Services[service].Kind != berylconfig.KindPlain {
-		daemon.refuse(writer, 0, &berylspoke.Refusal{Verdict: berylspoke.NotRun, Reason: berylspoke.ReasonUnknown})
+		daemon.refuse(writer, 0, &berylspoke.Refusal{Verdict: berylspoke.NotRun, Reason: berylspoke.ReasonUnknownService})
 		return
 	}
 	body, err := io.ReadAll(request.Body)
@@ -47,7 +47,7 @@
 	if request.URL.RawQuery != "" {
 		path += "?" + request.URL.RawQuery
 	}
-	call := berylspoke.Call{Method: request.Method, Path: path, Type: request.Header.Get("Content-Type"), Body: body}
+	call := berylspoke.Call{Method: request.Method, Path: path, ContentType: request.Header.Get("Content-Type"), Body: body}
 	if idempotent(request.Method) {
 		daemon.runIdempotent(request.Context(), writer, from, service, call)
 		return
@@ -63,7 +63,7 @@
 			daemon.writeAnswer(writer, answer)
 			return
 		}
-		if refusal.Reason != berylspoke.ReasonTarget || try == maxIdempotentAttempts || ctx.Err() != nil || !daemon.mayRetry() {
+		if refusal.Reason != berylspoke.ReasonTargetFailed || try == maxIdempotentAttempts || ctx.Err() != nil || !daemon.mayRetry() {
 			daemon.refuse(writer, 0, refusal)
 			return
 		}
@@ -88,8 +88,8 @@
 }
 
 func (daemon *Daemon) writeAnswer(writer http.ResponseWriter, answer berylspoke.Answer) {
-	if answer.Type != "" {
-		writer.Header().Set("Content-Type", answer.Type)
+	if answer.ContentType != "" {
+		writer.Header().Set("Content-Type", answer.ContentType)
 	}
 	writer.Header().Set(verdictHeader, berylspoke.Ran.String())
 	writer.WriteHeader(answer.Status)
@@ -100,7 +100,7 @@
 func (daemon *Daemon) runAtMostOnce(ctx context.Context, writer http.ResponseWriter, idText string, from caller, service berylspoke.ServiceID, call berylspoke.Call) {
 	if idText == "" {
 		daemon.refuse(writer, 0, &berylspoke.Refusal{
-			Verdict: berylspoke.NotRun, Reason: berylspoke.ReasonTicket,
+			Verdict: berylspoke.NotRun, Reason: berylspoke.ReasonTicketRequired,
 			Cause: errors.New("a call that may not be repeated needs an id: GET /v1/resolve returns a ticket, and TICKET~0 to TICKET~1023 in " + idHeader + " are ids"),
 		})
 		return
@@ -207,7 +207,7 @@
 		})
 	default:
 		daemon.refuse(writer, 0, &berylspoke.Refusal{
-			Verdict: berylspoke.MayHaveRun, Reason: berylspoke.ReasonOwnerLost,
+			Verdict: berylspoke.MayHaveRun, Reason: berylspoke.ReasonOwnerUnreachable,
 			Cause: errors.New("the owner is gone or silent after it may have sent the request"),
 		})
 	}
@@ -228,7 +228,7 @@
 			return
 		}
 		if record == nil {
-			daemon.refuse(writer, 0, &berylspoke.Refusal{Verdict: berylspoke.MayHaveRun, Reason: berylspoke.ReasonForgotten})
+			daemon.refuse(writer, 0, &berylspoke.Refusal{Verdict: berylspoke.MayHaveRun, Reason: berylspoke.ReasonOutcomeForgotten})
 			return
 		}
 		if record.Stage == berylticket.Finished {
@@ -252,7 +252,7 @@
 		})
 	default:
 		daemon.refuse(writer, 0, &berylspoke.Refusal{
-			Verdict: berylspoke.MayHaveRun, Reason: berylspoke.ReasonTarget,
+			Verdict: berylspoke.MayHaveRun, Reason: berylspoke.ReasonTargetFailed,
 			Cause: errors.New("the target's answer was lost"),
 		})
 	}
--- a/io/berylserve/generation.go
+++ b/io/berylserve/generation.go
@@ -92,7 +92,7 @@
 func (daemon *Daemon) serveGeneration(writer http.ResponseWriter, request *http.Request, from caller) {
 	service := berylspoke.ServiceID(request.PathValue("service"))
 	if daemon.Declarations().Services[service].Kind != berylconfig.KindModel {
-		daemon.refuse(writer, 0, &berylspoke.Refusal{Verdict: berylspoke.NotRun, Reason: berylspoke.ReasonUnknown})
+		daemon.refuse(writer, 0, &berylspoke.Refusal{Verdict: berylspoke.NotRun, Reason: berylspoke.ReasonUnknownService})
 		return
 	}
 	var body wireGenerationRequest
@@ -167,7 +167,7 @@
 	meter := new(tokenIntervalMeter)
 	transferred := len(body.Prompt)
 	lastCharge := time.Now()
-	generation := berylspoke.Draft{
+	generation := berylspoke.GenerationRequest{
 		Request: attempt.request.Request, Prompt: body.Prompt,
 		MaxTokens: berylspoke.Tokens(body.MaxTokens), Offset: startOffset,
 	}
--- a/io/berylserve/watch.go
+++ b/io/berylserve/watch.go
@@ -55,7 +55,7 @@
 	delays := platformBackoff()
 	lastRead := time.Now()
 	for daemon.ctx.Err() == nil {
-		var number berylspoke.EntryNumber
+		var number berylspoke.PatchNumber
 		watches := false
 		err := daemon.inspect(daemon.ctx, func(now time.Time, node *berylnode.Node) {
 			number, watches = node.Config().Number, node.Watches(now)
--- a/io/berylstand/engine.go
+++ b/io/berylstand/engine.go
@@ -63,9 +63,9 @@
 }
 
 type engineLoad struct {
-	Running int              `json:"running"`
-	Waiting int              `json:"waiting"`
-	Order   berylspoke.Order `json:"held"`
+	Running int                    `json:"running"`
+	Waiting int                    `json:"waiting"`
+	Order   berylspoke.EngineOrder `json:"held"`
 }
 
 type cacheEvent struct {
@@ -93,7 +93,7 @@
 	// report is the load report, updated by Run.
 	report engineLoad
 	// order is the last order accepted.
-	order berylspoke.Order
+	order berylspoke.EngineOrder
 	// prefixes are the hashes of the cached prefixes, least recently used first.
 	prefixes []uint64
 	events   []cacheEvent
@@ -315,7 +315,7 @@
 }
 
 func (engine *Engine) serveOrder(writer http.ResponseWriter, request *http.Request) {
-	var order berylspoke.Order
+	var order berylspoke.EngineOrder
 	if err := json.NewDecoder(request.Body).Decode(&order); err != nil {
 		http.Error(writer, "order is garbled", http.StatusBadRequest)
 		return
@@ -331,7 +331,7 @@
 }
 
 // Held returns the last order accepted.
-func (engine *Engine) Held() berylspoke.Order {
+func (engine *Engine) Held() berylspoke.EngineOrder {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
 	return engine.order
--- a/io/beryltarget/client.go
+++ b/io/beryltarget/client.go
@@ -106,7 +106,7 @@
 		// No connection was opened, so no byte can have reached the target.
 		verdict = berylspoke.NotRun
 	}
-	return &berylspoke.Refusal{Verdict: verdict, Reason: berylspoke.ReasonTarget, Cause: err}
+	return &berylspoke.Refusal{Verdict: verdict, Reason: berylspoke.ReasonTargetFailed, Cause: err}
 }
 
 // Call implements berylspoke.Targets.
@@ -124,7 +124,7 @@
 	// Without GetBody, net/http cannot retry the request.
 	request.GetBody = nil
 	request.Header.Set(RequestHeader, string(call.Request))
-	request.Header.Set("Content-Type", call.Type)
+	request.Header.Set("Content-Type", call.ContentType)
 	response, err := client.calls.Do(request)
 	if err != nil {
 		return berylspoke.Answer{}, targetRefusal(err)
@@ -132,7 +132,7 @@
 	defer func() { _ = response.Body.Close() }()
 	if echoed := response.Header.Get(RequestHeader); echoed != string(call.Request) {
 		return berylspoke.Answer{}, &berylspoke.Refusal{
-			Verdict: berylspoke.MayHaveRun, Reason: berylspoke.ReasonTarget,
+			Verdict: berylspoke.MayHaveRun, Reason: berylspoke.ReasonTargetFailed,
 			Cause: errors.Errorf("answer names request %.80q", echoed),
 		}
 	}
@@ -140,13 +140,13 @@
 	if err != nil {
 		return berylspoke.Answer{}, targetRefusal(err)
 	}
-	return berylspoke.Answer{Status: response.StatusCode, Type: response.Header.Get("Content-Type"), Body: body}, nil
+	return berylspoke.Answer{Status: response.StatusCode, ContentType: response.Header.Get("Content-Type"), Body: body}, nil
 }
 
 type wireLoad struct {
-	Running int              `json:"running"`
-	Waiting int              `json:"waiting"`
-	Held    berylspoke.Order `json:"held"`
+	Running int                    `json:"running"`
+	Waiting int                    `json:"waiting"`
+	Held    berylspoke.EngineOrder `json:"held"`
 }
 
 // Load implements berylspoke.Targets.
@@ -156,16 +156,16 @@
 }
 
 // Report returns the load of a target and the order that its engine reports as current.
-func (client *Client) Report(ctx context.Context, target berylspoke.TargetID) (berylspoke.LoadReport, berylspoke.Order, error) {
+func (client *Client) Report(ctx context.Context, target berylspoke.TargetID) (berylspoke.LoadReport, berylspoke.EngineOrder, error) {
 	var load wireLoad
 	if err := client.exchange(ctx, target, http.MethodGet, "/v1/load", nil, &load); err != nil {
-		return berylspoke.LoadReport{}, berylspoke.Order{}, err
+		return berylspoke.LoadReport{}, berylspoke.EngineOrder{}, err
 	}
 	return berylspoke.LoadReport{Running: load.Running, Waiting: load.Waiting}, load.Held, nil
 }
 
 // Order implements berylspoke.Targets.
-func (client *Client) Order(ctx context.Context, target berylspoke.TargetID, order berylspoke.Order) error {
+func (client *Client) Order(ctx context.Context, target berylspoke.TargetID, order berylspoke.EngineOrder) error {
 	body, err := json.Marshal(order)
 	if err != nil {
 		return errors.Wrap(err, "cannot encode the order")
@@ -199,7 +199,7 @@
 	}
 	if response.StatusCode != http.StatusOK {
 		return &berylspoke.Refusal{
-			Verdict: berylspoke.MayHaveRun, Reason: berylspoke.ReasonTarget,
+			Verdict: berylspoke.MayHaveRun, Reason: berylspoke.ReasonTargetFailed,
 			Cause: errors.Errorf("target %s answered a control request with %s", target, response.Status),
 		}
 	}
--- a/io/beryltarget/stream.go
+++ b/io/beryltarget/stream.go
@@ -45,7 +45,7 @@
 var errStalled = errors.New("connection is silent while the engine produces")
 
 // Stream implements berylspoke.Targets. It returns nil after the last chunk.
-func (client *Client) Stream(ctx context.Context, target berylspoke.TargetID, generation berylspoke.Draft, sink func(berylspoke.Chunk) error) error {
+func (client *Client) Stream(ctx context.Context, target berylspoke.TargetID, generation berylspoke.GenerationRequest, sink func(berylspoke.Chunk) error) error {
 	address, err := client.url(target, "/v1/generate")
 	if err != nil {
 		return err
@@ -73,7 +73,7 @@
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
 		return &berylspoke.Refusal{
-			Verdict: berylspoke.MayHaveRun, Reason: berylspoke.ReasonTarget,
+			Verdict: berylspoke.MayHaveRun, Reason: berylspoke.ReasonTargetFailed,
 			Cause: errors.Errorf("engine %s answers %s", target, response.Status),
 		}
 	}
@@ -92,7 +92,7 @@
 // readStream passes chunks to sink in order, each token once. A line of another request
 // or an unexpected offset shows that answers were mixed up; the stream then fails, and
 // the caller resumes it from the last offset that sink received.
-func (client *Client) readStream(ctx context.Context, response *http.Response, generation berylspoke.Draft, watchdog *watchdog, sink func(berylspoke.Chunk) error) error {
+func (client *Client) readStream(ctx context.Context, response *http.Response, generation berylspoke.GenerationRequest, watchdog *watchdog, sink func(berylspoke.Chunk) error) error {
 	scanner := bufio.NewScanner(response.Body)
 	scanner.Buffer(make([]byte, 0, 4096), maxLineBytes)
 	next := int64(generation.Offset)
@@ -155,13 +155,13 @@
 type watchdog struct {
 	client     *Client
 	target     berylspoke.TargetID
-	generation berylspoke.Draft
+	generation berylspoke.GenerationRequest
 	cancel     context.CancelCauseFunc
 	progress   chan int64
 	done       chan struct{}
 }
 
-func startWatchdog(client *Client, target berylspoke.TargetID, generation berylspoke.Draft, cancel context.CancelCauseFunc) *watchdog {
+func startWatchdog(client *Client, target berylspoke.TargetID, generation berylspoke.GenerationRequest, cancel context.CancelCauseFunc) *watchdog {
 	started := &watchdog{
 		client: client, target: target, generation: generation, cancel: cancel,
 		progress: make(chan int64, 1), done: make(chan struct{}),
--- a/verdict.go
+++ b/verdict.go
@@ -37,22 +37,22 @@
 
 // The reasons of refusals.
 const (
-	ReasonOverload      Reason = "overload"
-	ReasonOrganisation  Reason = "organisationLimit"
-	ReasonUnknown       Reason = "unknownService"
-	ReasonUnauthorised  Reason = "unauthorised"
-	ReasonMalformed     Reason = "malformed"
-	ReasonStarting      Reason = "starting"
-	ReasonDraining      Reason = "draining"
-	ReasonWitness       Reason = "witnessUnreachable"
-	ReasonClosed        Reason = "closed"
-	ReasonTicket        Reason = "ticketRequired"
-	ReasonForgotten     Reason = "outcomeForgotten"
-	ReasonTarget        Reason = "targetFailed"
-	ReasonNoTarget      Reason = "noTarget"
-	ReasonOwnerLost     Reason = "ownerUnreachable"
-	ReasonWaitedTooLong Reason = "waitedTooLong"
-	ReasonProcessor     Reason = "processorShort"
+	ReasonOverload           Reason = "overload"
+	ReasonOrganisationLimit  Reason = "organisationLimit"
+	ReasonUnknownService     Reason = "unknownService"
+	ReasonUnauthorised       Reason = "unauthorised"
+	ReasonMalformed          Reason = "malformed"
+	ReasonStarting           Reason = "starting"
+	ReasonDraining           Reason = "draining"
+	ReasonWitnessUnreachable Reason = "witnessUnreachable"
+	ReasonClosed             Reason = "closed"
+	ReasonTicketRequired     Reason = "ticketRequired"
+	ReasonOutcomeForgotten   Reason = "outcomeForgotten"
+	ReasonTargetFailed       Reason = "targetFailed"
+	ReasonNoTarget           Reason = "noTarget"
+	ReasonOwnerUnreachable   Reason = "ownerUnreachable"
+	ReasonWaitedTooLong      Reason = "waitedTooLong"
+	ReasonCPUStarved         Reason = "processorShort"
 )
 
 // Refusal is the final error of a request, with its verdict.
