--- a/cmd/berylspoke/config_test.go
+++ b/cmd/berylspoke/config_test.go
@@ -327,7 +327,7 @@
 	require.Equal(t, 1, code)
 	require.Contains(t, output, "unknown flag -setings, did you mean -settings?")
 
-	desired := berylconfig.Empty().Declarations
+	desired := berylconfig.InitialState().Declarations
 	desired = fleet.Plan.Patch().Apply(desired)
 	delete(desired.Organisations, "small-13")
 	body, err := json.Marshal(desired)
--- a/core/berylconfig/config_test.go
+++ b/core/berylconfig/config_test.go
@@ -103,14 +103,14 @@
 			},
 			"pull": func(t *rapid.T) {
 				to, from := reader(t), reader(t)
-				if entries, kept := from.After(to.State().Number, 100); kept {
+				if entries, kept := from.EntriesAfter(to.State().Number, 100); kept {
 					to.Add(entries)
 				}
 			},
 			"adopt": func(t *rapid.T) {
 				to, from := reader(t), reader(t)
 				before := to.State().Number
-				to.Adopt(from.Snapshot())
+				to.ApplySnapshot(from.Snapshot())
 				if to.State().Number < before {
 					t.Fatalf("a snapshot set the number back from %d to %d", before, to.State().Number)
 				}
@@ -142,12 +142,12 @@
 		body := fmt.Sprintf(`{"base":%d,"organisations":{"o%d":{"weight":1,"keyDigests":[]}}}`, number, number%7)
 		ahead.Add([]berylspoke.Published{{Number: berylspoke.PatchNumber(number + 1), Body: []byte(body)}})
 	}
-	_, kept := ahead.After(behind.State().Number, 1000)
+	_, kept := ahead.EntriesAfter(behind.State().Number, 1000)
 	require.False(t, kept)
-	require.True(t, behind.Adopt(ahead.Snapshot()))
+	require.True(t, behind.ApplySnapshot(ahead.Snapshot()))
 	require.Equal(t, ahead.State().Hash, behind.State().Hash)
 	require.Len(t, behind.State().Declarations.Organisations, 7)
-	require.False(t, behind.Adopt([]byte(`{"number":99999}`)), "a malformed snapshot changes nothing")
+	require.False(t, behind.ApplySnapshot([]byte(`{"number":99999}`)), "a malformed snapshot changes nothing")
 }
 
 func FuzzParsePatch(f *testing.F) {
--- a/core/berylconfig/fold.go
+++ b/core/berylconfig/fold.go
@@ -25,8 +25,8 @@
 	Declarations *Declarations
 }
 
-// Empty returns the state before the first entry.
-func Empty() *State { return &State{Declarations: new(Declarations)} }
+// InitialState returns the state before the first entry.
+func InitialState() *State { return &State{Declarations: new(Declarations)} }
 
 // Outcome reports to operators whether an entry was accepted.
 type Outcome struct {
--- a/core/berylconfig/snapshot.go
+++ b/core/berylconfig/snapshot.go
@@ -30,9 +30,9 @@
 	return body
 }
 
-// Adopt replaces the state by a peer's snapshot if that is ahead, and reports whether it
-// was.
-func (store *Store) Adopt(body []byte) bool {
+// ApplySnapshot replaces the state by a peer's snapshot if that is ahead, and reports
+// whether it was.
+func (store *Store) ApplySnapshot(body []byte) bool {
 	state, err := parseSnapshot(body)
 	if err != nil || state.Number <= store.state.Number {
 		return false
--- a/core/berylconfig/store.go
+++ b/core/berylconfig/store.go
@@ -27,7 +27,7 @@
 }
 
 // NewStore returns a store without entries.
-func NewStore() *Store { return &Store{state: Empty()} }
+func NewStore() *Store { return &Store{state: InitialState()} }
 
 // State returns the state in force.
 func (store *Store) State() *State { return store.state }
@@ -87,10 +87,10 @@
 	}
 }
 
-// After returns the entries above the number, about limit bytes at most but at least one
-// entry, for a peer that lacks them. It returns false if some of them are no longer kept
-// and the peer needs a snapshot.
-func (store *Store) After(number berylspoke.PatchNumber, limit int) ([]berylspoke.Published, bool) {
+// EntriesAfter returns the entries above the number, about limit bytes at most but at
+// least one entry, for a peer that lacks them. It returns false if some of them are no
+// longer kept and the peer needs a snapshot.
+func (store *Store) EntriesAfter(number berylspoke.PatchNumber, limit int) ([]berylspoke.Published, bool) {
 	if number >= store.state.Number {
 		return nil, true
 	}
--- a/core/berylmember/detect.go
+++ b/core/berylmember/detect.go
@@ -11,8 +11,8 @@
 
 // Due is a heartbeat and the VMs that it is sent to.
 type Due struct {
-	To   []berylspoke.VMID
-	Beat Heartbeat
+	To        []berylspoke.VMID
+	Heartbeat Heartbeat
 }
 
 // Tick advances failure detection and returns the heartbeats due.
@@ -25,10 +25,10 @@
 	var due []Due
 	rumours := table.takePending()
 	if len(rumours) > 0 {
-		due = append(due, Due{To: table.Links(), Beat: table.heartbeat(rumours)})
+		due = append(due, Due{To: table.Links(), Heartbeat: table.heartbeat(rumours)})
 		table.lastHeartbeat = now
 	} else if periodic {
-		due = append(due, Due{To: table.out, Beat: table.heartbeat(nil)})
+		due = append(due, Due{To: table.out, Heartbeat: table.heartbeat(nil)})
 		table.lastHeartbeat = now
 	}
 	table.urgent = false
@@ -40,7 +40,7 @@
 			// one side of a healed partition believes so, nothing else makes the receiver
 			// refute it.
 			belief := []Rumour{table.members[dead].Rumour}
-			due = append(due, Due{To: []berylspoke.VMID{dead}, Beat: table.heartbeat(belief)})
+			due = append(due, Due{To: []berylspoke.VMID{dead}, Heartbeat: table.heartbeat(belief)})
 		}
 	}
 	return due
@@ -56,7 +56,7 @@
 		return nil
 	}
 	turn := int(now.UnixNano()/int64(table.options.RecheckInterval)) % len(linked)
-	return []Due{{To: linked[turn : turn+1], Beat: table.heartbeat(notAlive[:min(len(notAlive), rumoursPerHeartbeat)])}}
+	return []Due{{To: linked[turn : turn+1], Heartbeat: table.heartbeat(notAlive[:min(len(notAlive), rumoursPerHeartbeat)])}}
 }
 
 // detect marks silent members as suspect, and suspects as dead once their time to refute
--- a/core/berylmember/member_test.go
+++ b/core/berylmember/member_test.go
@@ -53,7 +53,7 @@
 	moved := 0
 	for key := range 1000 {
 		name := fmt.Sprint(key)
-		if before := Holder(name, vms); before != vms[7] && before != Holder(name, append(append([]berylspoke.VMID(nil), vms[:7]...), vms[8:]...)) {
+		if before := TopRanked(name, vms); before != vms[7] && before != TopRanked(name, append(append([]berylspoke.VMID(nil), vms[:7]...), vms[8:]...)) {
 			moved++
 		}
 	}
--- a/core/berylmember/open_test.go
+++ b/core/berylmember/open_test.go
@@ -20,11 +20,11 @@
 func TestNewDaemonLearnsFleetFromSeed(t *testing.T) {
 	now := time.Unix(0, 0)
 	seed, other, newcomer := openTable(now, "seed", 1), openTable(now, "other", 1), openTable(now, "newcomer", 1)
-	seed.Hear(now, other.Sync())
+	seed.HandleHeartbeat(now, other.Sync())
 	newcomer.Join(now, []berylspoke.VMID{"seed"})
-	reply := seed.Hear(now, newcomer.Sync())
+	reply := seed.HandleHeartbeat(now, newcomer.Sync())
 	require.NotNil(t, reply)
-	newcomer.Hear(now, *reply)
+	newcomer.HandleHeartbeat(now, *reply)
 	require.Equal(t, []berylspoke.VMID{"newcomer", "other", "seed"}, newcomer.Live())
 	require.Contains(t, seed.Live(), berylspoke.VMID("newcomer"))
 }
@@ -38,17 +38,17 @@
 	one, other, third := openTable(now, "one", 1), openTable(now, "other", 1), openTable(now, "third", 1)
 	for range 2 {
 		for _, pair := range [][2]*Table{{one, other}, {one, third}, {other, one}, {third, one}, {other, third}, {third, other}} {
-			if reply := pair[0].Hear(now, pair[1].Sync()); reply != nil {
-				pair[1].Hear(now, *reply)
+			if reply := pair[0].HandleHeartbeat(now, pair[1].Sync()); reply != nil {
+				pair[1].HandleHeartbeat(now, *reply)
 			}
 		}
 	}
-	require.Nil(t, one.Hear(now, other.Sync()))
+	require.Nil(t, one.HandleHeartbeat(now, other.Sync()))
 	third.Leave(now)
-	one.Hear(now, third.Sync())
-	reply := one.Hear(now, other.Sync())
+	one.HandleHeartbeat(now, third.Sync())
+	reply := one.HandleHeartbeat(now, other.Sync())
 	require.NotNil(t, reply)
-	other.Hear(now, *reply)
+	other.HandleHeartbeat(now, *reply)
 	require.True(t, other.Member("third").Rumour.Leaving)
 }
 
@@ -58,14 +58,14 @@
 func TestDaemonWithSteppedBackClockRejoins(t *testing.T) {
 	now := time.Unix(0, 0)
 	peer := openTable(now, "peer", 1)
-	peer.Hear(now, openTable(now, "vm", 50).Sync())
+	peer.HandleHeartbeat(now, openTable(now, "vm", 50).Sync())
 	again := openTable(now, "vm", 40)
-	reply := peer.Hear(now, again.Sync())
+	reply := peer.HandleHeartbeat(now, again.Sync())
 	require.NotNil(t, reply)
-	again.Hear(now, *reply)
+	again.HandleHeartbeat(now, *reply)
 	require.EqualValues(t, 51, again.Self().Incarnation)
-	peer.Hear(now, again.Sync())
-	require.EqualValues(t, 51, peer.Known("vm"))
+	peer.HandleHeartbeat(now, again.Sync())
+	require.EqualValues(t, 51, peer.Incarnation("vm"))
 }
 
 // A VM that is gone for good is removed after a minute; otherwise a fleet whose VMs are
@@ -73,7 +73,7 @@
 func TestDeadMembersAreRemoved(t *testing.T) {
 	now := time.Unix(0, 0)
 	table := openTable(now, "vm", 1)
-	table.Hear(now, openTable(now, "gone", 1).Sync())
+	table.HandleHeartbeat(now, openTable(now, "gone", 1).Sync())
 	for range 80 {
 		now = now.Add(time.Second)
 		table.Tick(now)
--- a/core/berylmember/rendezvous.go
+++ b/core/berylmember/rendezvous.go
@@ -19,8 +19,8 @@
 	return digest.Sum64()
 }
 
-// Holder returns the VM with the highest score for the key, or "" for none.
-func Holder(key string, vms []berylspoke.VMID) berylspoke.VMID {
+// TopRanked returns the VM with the highest score for the key, or "" for none.
+func TopRanked(key string, vms []berylspoke.VMID) berylspoke.VMID {
 	var best berylspoke.VMID
 	var top uint64
 	for _, vm := range vms {
--- a/core/berylmember/rumour.go
+++ b/core/berylmember/rumour.go
@@ -29,12 +29,14 @@
 	Counter uint32
 	Status  Status
 	Leaving bool
-	// Place holds the attributes of the daemon; it is empty if the platform lists VMs.
-	Place Place
+	// Attributes holds the attributes of the daemon; it is empty if the platform lists
+	// VMs.
+	Attributes Attributes
 }
 
-// Place holds the attributes that a daemon announces in a fleet without a list of VMs.
-type Place struct {
+// Attributes holds the attributes that a daemon announces in a fleet without a list of
+// VMs.
+type Attributes struct {
 	FailureDomain berylspoke.FailureDomain
 	// CallAddress is the address for callers' requests.
 	CallAddress string
@@ -54,9 +56,9 @@
 
 // Heartbeat shows that its sender is alive and carries rumours.
 type Heartbeat struct {
-	Self    Rumour
-	Number  berylspoke.PatchNumber
-	Serving bool
+	Self         Rumour
+	ConfigNumber berylspoke.PatchNumber
+	Serving      bool
 	// Sync requests all rumours that the receiver knows, unless Digest is set and shows
 	// that both know the same.
 	Sync    bool
--- a/core/berylmember/spread.go
+++ b/core/berylmember/spread.go
@@ -34,7 +34,7 @@
 // notAlive lists the rumours of daemons that are suspect or dead.
 func (table *Table) notAlive() []Rumour {
 	var notAlive []Rumour
-	for _, member := range table.All() {
+	for _, member := range table.Members() {
 		if member.Rumour.Status != Alive {
 			notAlive = append(notAlive, member.Rumour)
 		}
--- a/core/berylmember/table.go
+++ b/core/berylmember/table.go
@@ -56,9 +56,9 @@
 	Listed   bool
 	LastSeen time.Time
 	Changed  time.Time
-	// Number is the last configuration entry that the member reported to have.
-	Number  berylspoke.PatchNumber
-	Serving bool
+	// ConfigNumber is the last configuration entry that the member reported to have.
+	ConfigNumber berylspoke.PatchNumber
+	Serving      bool
 }
 
 // Table is the membership as one daemon knows it.
@@ -82,7 +82,7 @@
 	process := berylspoke.Process{VM: vm.ID, Incarnation: incarnation}
 	rumour := Rumour{Process: process}
 	if options.Open {
-		rumour.Place = Place{FailureDomain: vm.FailureDomain, CallAddress: vm.CallAddress}
+		rumour.Attributes = Attributes{FailureDomain: vm.FailureDomain, CallAddress: vm.CallAddress}
 	}
 	self := &Member{VM: vm, Rumour: rumour, Listed: true, LastSeen: now, Serving: true}
 	table := &Table{
@@ -154,8 +154,8 @@
 // Member returns what is known of a VM, or nil.
 func (table *Table) Member(id berylspoke.VMID) *Member { return table.members[id] }
 
-// Known returns the current incarnation of a VM, or zero.
-func (table *Table) Known(id berylspoke.VMID) berylspoke.Incarnation {
+// Incarnation returns the current incarnation of a VM, or zero.
+func (table *Table) Incarnation(id berylspoke.VMID) berylspoke.Incarnation {
 	if member := table.members[id]; member != nil {
 		return member.Rumour.Process.Incarnation
 	}
@@ -168,8 +168,8 @@
 // Announce spreads the address at which this daemon takes callers' requests, and its
 // processor time in hundredths of a core.
 func (table *Table) Announce(callAddress string, capacity uint16) {
-	table.self.Rumour.Place.Capacity = capacity
-	table.self.Rumour.Place.CallAddress = callAddress
+	table.self.Rumour.Attributes.Capacity = capacity
+	table.self.Rumour.Attributes.CallAddress = callAddress
 	table.self.VM.CallAddress = callAddress
 	table.self.Rumour.Counter++
 	table.enqueue(table.self.VM.ID)
@@ -215,8 +215,8 @@
 // Monitored returns the VMs whose heartbeats this daemon expects.
 func (table *Table) Monitored() []berylspoke.VMID { return table.in }
 
-// All returns every known member sorted by id.
-func (table *Table) All() []*Member {
+// Members returns every known member sorted by id.
+func (table *Table) Members() []*Member {
 	all := make([]*Member, 0, len(table.members))
 	for _, member := range table.members {
 		all = append(all, member)
@@ -256,8 +256,8 @@
 	table.urgent = true
 }
 
-// Hear applies a heartbeat and returns the reply to send, if any.
-func (table *Table) Hear(now time.Time, heartbeat Heartbeat) *Heartbeat {
+// HandleHeartbeat applies a heartbeat and returns the reply to send, if any.
+func (table *Table) HandleHeartbeat(now time.Time, heartbeat Heartbeat) *Heartbeat {
 	from := heartbeat.Self.Process.VM
 	member := table.members[from]
 	if member == nil {
@@ -271,7 +271,7 @@
 		reply := table.heartbeat([]Rumour{member.Rumour})
 		return &reply
 	}
-	member.LastSeen, member.Number, member.Serving = now, heartbeat.Number, heartbeat.Serving
+	member.LastSeen, member.ConfigNumber, member.Serving = now, heartbeat.ConfigNumber, heartbeat.Serving
 	disputed := member.Rumour.Status != Alive && member.Rumour.Process == heartbeat.Self.Process &&
 		member.Rumour.Counter >= heartbeat.Self.Counter
 	oldCounter, oldStatus := table.self.Rumour.Counter, member.Rumour.Status
@@ -334,8 +334,8 @@
 		return
 	}
 	member.Rumour, member.Changed = rumour, now
-	if rumour.Place.FailureDomain != "" {
-		member.VM.FailureDomain, member.VM.CallAddress = rumour.Place.FailureDomain, rumour.Place.CallAddress
+	if rumour.Attributes.FailureDomain != "" {
+		member.VM.FailureDomain, member.VM.CallAddress = rumour.Attributes.FailureDomain, rumour.Attributes.CallAddress
 	}
 	if rumour.Status == Alive {
 		member.LastSeen = now
@@ -344,17 +344,17 @@
 	table.relink(now)
 }
 
-// Earlier returns the highest incarnation that peers report of an earlier run of this
-// daemon, zero if none is above its own.
-func (table *Table) Earlier() berylspoke.Incarnation {
+// EarlierIncarnation returns the highest incarnation that peers report of an earlier run
+// of this daemon, zero if none is above its own.
+func (table *Table) EarlierIncarnation() berylspoke.Incarnation {
 	if table.earlier <= table.self.Rumour.Process.Incarnation {
 		return 0
 	}
 	return table.earlier
 }
 
-// Succeed sets an incarnation above that of an earlier run.
-func (table *Table) Succeed(incarnation berylspoke.Incarnation) {
+// SetIncarnation sets an incarnation above that of an earlier run.
+func (table *Table) SetIncarnation(incarnation berylspoke.Incarnation) {
 	table.self.Rumour.Process.Incarnation = incarnation
 	table.enqueue(table.self.VM.ID)
 }
@@ -365,7 +365,7 @@
 	if rumour.Process.Incarnation > table.self.Rumour.Process.Incarnation {
 		table.earlier = max(table.earlier, rumour.Process.Incarnation)
 		if table.options.Open {
-			table.Succeed(rumour.Process.Incarnation + 1)
+			table.SetIncarnation(rumour.Process.Incarnation + 1)
 		}
 		return
 	}
--- a/core/berylnode/calls.go
+++ b/core/berylnode/calls.go
@@ -29,13 +29,13 @@
 // BeginCall returns the owner's record of an ID and whether the call created it. A nil
 // record means that the outcome is forgotten.
 func (node *Node) BeginCall(now time.Time, id berylticket.CallID) (*berylticket.Record, bool) {
-	return node.owner.Begin(now, id)
+	return node.owner.Register(now, id)
 }
 
 // requestPermit asks the witness for permission to dispatch a non-idempotent request.
 func (node *Node) requestPermit(now time.Time, active *activeRequest) {
 	id := *active.call
-	if !node.owner.Ask(now, id) {
+	if !node.owner.RequestPermit(now, id) {
 		node.abandon(now, active, berylspoke.ReasonClosed)
 		return
 	}
@@ -82,7 +82,7 @@
 		switch {
 		case now.Sub(wait.since) > node.options.PermitTimeout:
 			delete(node.pendingPermits, id)
-			if node.owner.GiveUp(now, id) {
+			if node.owner.Abandon(now, id) {
 				node.abandon(now, wait.active, berylspoke.ReasonWitnessUnreachable)
 			}
 		case now.Sub(wait.sent) > resendAfter:
@@ -100,16 +100,16 @@
 	}
 	wait := &pendingSettlement{id: id, since: now}
 	node.pendingSettlements[token] = wait
-	if node.table.Known(id.Ticket.Owner.VM) > id.Ticket.Owner.Incarnation {
+	if node.table.Incarnation(id.Ticket.Owner.VM) > id.Ticket.Owner.Incarnation {
 		node.settleAtWitness(now, token, wait)
 		return
 	}
 	node.sendSettleRequest(now, token, wait)
 }
 
-func (node *Node) completeSettlement(token uint64, standing berylticket.Standing) {
+func (node *Node) completeSettlement(token uint64, status berylticket.Status) {
 	delete(node.pendingSettlements, token)
-	node.effects.Settled = append(node.effects.Settled, Settled{token, standing})
+	node.effects.Settled = append(node.effects.Settled, Settled{token, status})
 }
 
 // settleAtWitness asks the witness when the owner is gone or does not answer. Only a close
@@ -120,7 +120,7 @@
 	witness := wait.id.Ticket.Witness
 	switch {
 	case witness == (berylspoke.Process{}):
-		node.completeSettlement(token, berylticket.StandsMayHaveRun)
+		node.completeSettlement(token, berylticket.StatusMayHaveRun)
 	case witness == node.self:
 		node.completeSettlement(token, node.witness.Close(wait.id))
 	default:
@@ -143,10 +143,10 @@
 		return
 	}
 	switch {
-	case answer.Standing != berylticket.Unknowable:
-		node.completeSettlement(answer.Token, answer.Standing)
+	case answer.Status != berylticket.StatusUnknown:
+		node.completeSettlement(answer.Token, answer.Status)
 	case wait.atWitness:
-		node.completeSettlement(answer.Token, berylticket.StandsMayHaveRun)
+		node.completeSettlement(answer.Token, berylticket.StatusMayHaveRun)
 	default:
 		node.settleAtWitness(now, answer.Token, wait)
 	}
@@ -156,7 +156,7 @@
 	for token, wait := range node.pendingSettlements {
 		switch {
 		case now.Sub(wait.since) > node.options.SettleTimeout && wait.atWitness:
-			node.completeSettlement(token, berylticket.StandsMayHaveRun)
+			node.completeSettlement(token, berylticket.StatusMayHaveRun)
 		case now.Sub(wait.since) > node.options.SettleTimeout:
 			node.settleAtWitness(now, token, wait)
 		case now.Sub(wait.sent) > resendAfter:
--- a/core/berylnode/calls_test.go
+++ b/core/berylnode/calls_test.go
@@ -88,7 +88,7 @@
 // reportedNotRun reports whether any answer said that the ID did not run.
 func (sim *callSimulation) reportedNotRun(call *testCall) bool {
 	for _, token := range call.tokens {
-		if sim.settled[token] == berylticket.StandsNotRun {
+		if sim.settled[token] == berylticket.StatusNotRun {
 			return true
 		}
 	}
@@ -189,7 +189,7 @@
 	sim.frozen[owner] = true
 	sim.settle(sim.vms[3].ID, call)
 	sim.run(4*time.Second, 10*time.Millisecond)
-	require.Equal(t, berylticket.StandsMayHaveRun, sim.settled[sim.tokens])
+	require.Equal(t, berylticket.StatusMayHaveRun, sim.settled[sim.tokens])
 }
 
 // The owner freezes before its permit request reaches the witness. Another daemon settles
@@ -205,7 +205,7 @@
 	sim.frozen[owner] = true
 	sim.settle(sim.vms[3].ID, call)
 	sim.run(4*time.Second, 10*time.Millisecond)
-	require.Equal(t, berylticket.StandsNotRun, sim.settled[sim.tokens])
+	require.Equal(t, berylticket.StatusNotRun, sim.settled[sim.tokens])
 	sim.cut = func(berylspoke.VMID, berylspoke.VMID) bool { return false }
 	delete(sim.frozen, owner)
 	sim.run(4*time.Second, 10*time.Millisecond)
--- a/core/berylnode/config.go
+++ b/core/berylnode/config.go
@@ -63,29 +63,29 @@
 // announce sends the configuration number to the linked peers at once, so that a change
 // reaches the whole fleet in a few hops.
 func (node *Node) announce() {
-	beat := berylmember.Heartbeat{Self: node.table.Member(node.self.VM).Rumour}
-	beat.Number, beat.Serving = node.store.State().Number, node.Ready()
+	heartbeat := berylmember.Heartbeat{Self: node.table.Member(node.self.VM).Rumour}
+	heartbeat.ConfigNumber, heartbeat.Serving = node.store.State().Number, node.Ready()
 	for _, to := range node.table.Links() {
 		member := node.table.Member(to)
-		if member != nil && member.Number < beat.Number {
-			node.send(to, beat)
+		if member != nil && member.ConfigNumber < heartbeat.ConfigNumber {
+			node.send(to, heartbeat)
 		}
 	}
 }
 
 // handleHeartbeat merges a heartbeat and pulls the configuration entries that its sender
 // has and this daemon lacks.
-func (node *Node) handleHeartbeat(now time.Time, beat berylmember.Heartbeat) {
-	if peer := node.startup.peers[beat.Self.Process.VM]; peer != nil {
+func (node *Node) handleHeartbeat(now time.Time, heartbeat berylmember.Heartbeat) {
+	if peer := node.startup.peers[heartbeat.Self.Process.VM]; peer != nil {
 		peer.heartbeatReceived = true
 	}
 	defer node.raiseIncarnation(now)
-	if reply := node.table.Hear(now, beat); reply != nil {
-		reply.Number, reply.Serving = node.store.State().Number, node.Ready()
-		node.send(beat.Self.Process.VM, *reply)
+	if reply := node.table.HandleHeartbeat(now, heartbeat); reply != nil {
+		reply.ConfigNumber, reply.Serving = node.store.State().Number, node.Ready()
+		node.send(heartbeat.Self.Process.VM, *reply)
 	}
-	if beat.Number > node.store.State().Number {
-		node.pull(now, beat.Self.Process.VM)
+	if heartbeat.ConfigNumber > node.store.State().Number {
+		node.pull(now, heartbeat.Self.Process.VM)
 	}
 	node.updatePlacement(now)
 }
@@ -95,12 +95,12 @@
 // earlier one. Its owner and witness state can be replaced, since no request is served
 // before startup is complete.
 func (node *Node) raiseIncarnation(now time.Time) {
-	earlier := node.table.Earlier()
+	earlier := node.table.EarlierIncarnation()
 	if earlier == 0 || node.startup.done {
 		return
 	}
 	node.self.Incarnation = earlier.Next(node.random.Uint64())
-	node.table.Succeed(node.self.Incarnation)
+	node.table.SetIncarnation(node.self.Incarnation)
 	node.owner = berylticket.NewOwner(node.self, node.options.MaxRecords)
 	node.witness = berylticket.NewWitness(node.self, node.options.MaxRecords)
 	node.services, node.placement = make(map[berylspoke.ServiceID]*service), placementKey{}
@@ -119,7 +119,7 @@
 
 func (node *Node) handlePullRequest(from berylspoke.VMID, request berylconfig.PullRequest) {
 	answer := berylconfig.PullAnswer{Number: node.store.State().Number, Serving: node.Ready()}
-	entries, retained := node.store.After(request.After, maxPullBytes)
+	entries, retained := node.store.EntriesAfter(request.After, maxPullBytes)
 	answer.Entries = entries
 	if !retained {
 		answer.Snapshot = node.store.Snapshot()
@@ -133,7 +133,7 @@
 	}
 	node.pulledAt = time.Time{}
 	before := node.store.State().Number
-	if len(answer.Snapshot) > 0 && node.store.Adopt(answer.Snapshot) {
+	if len(answer.Snapshot) > 0 && node.store.ApplySnapshot(answer.Snapshot) {
 		node.effects.Reconfigured = true
 		node.updatePlacement(now)
 	}
@@ -201,7 +201,7 @@
 		default:
 			answered++
 		}
-		if member.Number > node.store.State().Number {
+		if member.ConfigNumber > node.store.State().Number {
 			behind = true
 		}
 		if peer.serving && peer.heartbeatReceived {
--- a/core/berylnode/dump.go
+++ b/core/berylnode/dump.go
@@ -32,9 +32,9 @@
 	Backlogged    int                                     `json:"backlogged"`
 	VirtualTime   berylspoke.Tag                          `json:"virtualTime"`
 	Organisations []berylshare.OrganisationState          `json:"organisations"`
-	SlotUses      berylslot.Uses                          `json:"slotUses"`
-	Held          []berylslot.HeldSlot                    `json:"held"`
-	LeasedTargets []berylslot.Slot                        `json:"kept"`
+	SlotUses      berylslot.UseCounts                     `json:"slotUses"`
+	Held          []berylslot.HeldSlots                   `json:"held"`
+	LeasedTargets []berylslot.TargetSlots                 `json:"kept"`
 	Lessors       map[berylspoke.TargetID]berylspoke.VMID `json:"keepers"`
 }
 
@@ -70,12 +70,12 @@
 		LedgerOrganisations: node.ledger.Len(), OwnerRecords: node.owner.Len(), WitnessedIDs: node.witness.Len(),
 		Waiting: len(node.waiting), Running: len(node.running),
 	}
-	for _, member := range node.table.All() {
+	for _, member := range node.table.Members() {
 		dump.Members = append(dump.Members, MemberState{
 			VM: member.VM.ID, FailureDomain: member.VM.FailureDomain,
 			Incarnation: member.Rumour.Process.Incarnation.String(),
 			Status:      member.Rumour.Status.String(), Leaving: member.Rumour.Leaving || member.VM.Leaving,
-			Number: member.Number,
+			Number: member.ConfigNumber,
 		})
 	}
 	for _, service := range node.services {
--- a/core/berylnode/effects.go
+++ b/core/berylnode/effects.go
@@ -40,7 +40,7 @@
 // Settled tells io the outcome of an ID that it asked about with Settle.
 type Settled struct {
 	Token    uint64
-	Standing berylticket.Standing
+	Standing berylticket.Status
 }
 
 // Order tells io to send an order to an engine.
@@ -66,7 +66,7 @@
 	Incarnation berylspoke.Incarnation
 	Policy      berylshare.Policy
 	Queue       berylshare.Options
-	Keeper      berylslot.KeeperOptions
+	Keeper      berylslot.LessorOptions
 	// Quantum is the change in an organisation's charge that makes a report to its
 	// ledger due.
 	Quantum berylspoke.Tokens
@@ -104,7 +104,7 @@
 			MaxWaiting:         20_000,
 			MaxPerOrganisation: 2_000,
 		},
-		Keeper:            berylslot.DefaultKeeperOptions(),
+		Keeper:            berylslot.DefaultLessorOptions(),
 		Quantum:           100,
 		ReportEvery:       time.Second,
 		CrossAfter:        300 * time.Millisecond,
--- a/core/berylnode/fleet_test.go
+++ b/core/berylnode/fleet_test.go
@@ -64,7 +64,7 @@
 	capacity, used float64
 	executions     map[berylticket.CallID]int
 	refused        map[berylspoke.RequestID]*berylspoke.Refusal
-	settled        map[uint64]berylticket.Standing
+	settled        map[uint64]berylticket.Status
 	orgOf          map[berylspoke.RequestID]berylspoke.OrganisationID
 	callOf         map[berylspoke.RequestID]*berylticket.CallID
 }
@@ -80,7 +80,7 @@
 		service:    make(map[berylspoke.OrganisationID]berylspoke.Tokens),
 		executions: make(map[berylticket.CallID]int),
 		refused:    make(map[berylspoke.RequestID]*berylspoke.Refusal),
-		settled:    make(map[uint64]berylticket.Standing),
+		settled:    make(map[uint64]berylticket.Status),
 		orgOf:      make(map[berylspoke.RequestID]berylspoke.OrganisationID),
 		callOf:     make(map[berylspoke.RequestID]*berylticket.CallID),
 	}
--- a/core/berylnode/members_test.go
+++ b/core/berylnode/members_test.go
@@ -171,6 +171,6 @@
 	after := fleet.nodes[vm.ID].Self()
 	require.Greater(t, after.Incarnation, before.Incarnation)
 	for _, node := range fleet.nodes {
-		require.Equal(t, after.Incarnation, node.table.Known(vm.ID))
+		require.Equal(t, after.Incarnation, node.table.Incarnation(vm.ID))
 	}
 }
--- a/core/berylnode/node.go
+++ b/core/berylnode/node.go
@@ -30,7 +30,7 @@
 	id      berylspoke.ServiceID
 	queue   *berylshare.Queue
 	holder  *berylslot.Holder
-	lessor  *berylslot.Keeper
+	lessor  *berylslot.Lessor
 	lessors *berylroute.Keepers
 	// round selects the last of the lessors to ask, which rotates; rotated is the time of
 	// its last change.
@@ -42,10 +42,10 @@
 
 // activeRequest is a request that holds a slot.
 type activeRequest struct {
-	service *service
-	started *berylshare.StartedRequest
-	place   berylslot.Place
-	call    *berylticket.CallID
+	service   *service
+	started   *berylshare.StartedRequest
+	placement berylslot.Placement
+	call      *berylticket.CallID
 }
 
 // Node is the state machine of one daemon.
@@ -195,10 +195,10 @@
 
 func (node *Node) heartbeat(now time.Time) {
 	for _, due := range node.table.Tick(now) {
-		beat := due.Beat
-		beat.Number, beat.Serving = node.store.State().Number, node.Ready()
+		heartbeat := due.Heartbeat
+		heartbeat.ConfigNumber, heartbeat.Serving = node.store.State().Number, node.Ready()
 		for _, to := range due.To {
-			node.sendOrDefer(now, to, beat, len(beat.Rumours) > 0)
+			node.sendOrDefer(now, to, heartbeat, len(heartbeat.Rumours) > 0)
 		}
 	}
 }
@@ -300,13 +300,13 @@
 	if node.options.Policy == berylshare.FirstCome {
 		return
 	}
-	need := berylslot.Need{
-		Waiting: service.queue.Waiting(),
-		Tags:    service.queue.Tags(berylslot.AskTags, node.options.Keeper.Slack),
-		Time:    service.queue.VirtualTime(),
+	state := berylslot.QueueState{
+		Waiting:     service.queue.Waiting(),
+		Tags:        service.queue.Tags(berylslot.MaxDemandTags, node.options.Keeper.Slack),
+		VirtualTime: service.queue.VirtualTime(),
 	}
-	for _, ask := range service.holder.Asks(now, node.lessorsToAsk(now, service), need) {
-		node.sendOrDefer(now, ask.To, ask.Ask, ask.Urgent)
+	for _, demand := range service.holder.Demands(now, node.activeLessors(now, service), state) {
+		node.sendOrDefer(now, demand.To, demand.Demand, demand.Urgent)
 	}
 }
 
@@ -328,13 +328,13 @@
 		node.handlePullRequest(from, message)
 	case berylconfig.PullAnswer:
 		node.handlePullAnswer(now, from, message)
-	case berylslot.Ask:
+	case berylslot.Demand:
 		if service := node.services[message.Service]; service != nil && service.lessor != nil {
-			service.lessor.Ask(now, message)
+			service.lessor.ApplyDemand(now, message)
 		}
 	case berylslot.Lease:
 		if service := node.services[message.Service]; service != nil {
-			service.holder.Take(message)
+			service.holder.ApplyLease(message)
 		}
 	case berylshare.Reports:
 		node.handleReports(now, message)
@@ -345,11 +345,11 @@
 	case berylticket.PermitAnswer:
 		node.handlePermitAnswer(now, message)
 	case berylticket.SettleRequest:
-		standing := node.owner.Settle(now, message.ID)
-		node.send(from, berylticket.SettleAnswer{ID: message.ID, Token: message.Token, Standing: standing})
+		status := node.owner.Settle(now, message.ID)
+		node.send(from, berylticket.SettleAnswer{ID: message.ID, Token: message.Token, Status: status})
 	case berylticket.CloseRequest:
-		standing := node.witness.Close(message.ID)
-		node.send(from, berylticket.SettleAnswer{ID: message.ID, Token: message.Token, Standing: standing, ByWitness: true})
+		status := node.witness.Close(message.ID)
+		node.send(from, berylticket.SettleAnswer{ID: message.ID, Token: message.Token, Status: status, ByWitness: true})
 	case berylticket.SettleAnswer:
 		node.handleSettleAnswer(now, message)
 	}
--- a/core/berylnode/placement.go
+++ b/core/berylnode/placement.go
@@ -26,7 +26,7 @@
 		Self: node.self.VM, Live: live, Declarations: state.Declarations,
 		DomainOf: make(map[berylspoke.VMID]berylspoke.FailureDomain),
 	}
-	for _, member := range node.table.All() {
+	for _, member := range node.table.Members() {
 		node.fleet.DomainOf[member.VM.ID] = member.VM.FailureDomain
 	}
 	placed := berylroute.Place(node.fleet)
@@ -66,10 +66,10 @@
 	}
 	found.lessors = lessors
 	for target, lessor := range lessors.Of {
-		found.holder.Move(target, lessor)
+		found.holder.ReassignTarget(target, lessor)
 	}
 	if found.lessor == nil && len(lessors.Mine) > 0 {
-		found.lessor = berylslot.NewKeeper(now, node.self, id, node.options.Keeper)
+		found.lessor = berylslot.NewLessor(now, node.self, id, node.options.Keeper)
 	}
 	if found.lessor != nil {
 		found.lessor.SetTargets(now, lessors.Mine)
@@ -94,39 +94,39 @@
 	for _, vm := range live {
 		alive[vm] = true
 	}
-	for _, member := range node.table.All() {
+	for _, member := range node.table.Members() {
 		if alive[member.VM.ID] || member.Rumour.Leaving {
 			continue
 		}
 		for _, service := range node.services {
-			service.holder.Drop(member.VM.ID)
+			service.holder.ExpireLessor(member.VM.ID)
 			if service.lessor != nil {
-				service.lessor.Drop(member.VM.ID)
+				service.lessor.RemoveHolder(member.VM.ID)
 			}
 		}
 	}
 }
 
-// lessorsToAsk returns the lessors that this entry daemon requests slots from now: a few
+// activeLessors returns the lessors that this entry daemon requests slots from now: a few
 // in its own region, and some in other regions while requests may go there.
-func (node *Node) lessorsToAsk(now time.Time, service *service) berylslot.Asked {
+func (node *Node) activeLessors(now time.Time, service *service) berylslot.Lessors {
 	if now.Sub(service.rotated) > rotationInterval {
 		service.rotated = now
 		service.round++
 	}
-	asked := berylslot.Asked{
+	lessors := berylslot.Lessors{
 		Local: berylroute.Window(service.lessors.Local, node.options.MaxLessors, service.round),
 		// Newcomers are reported with a tag lower by the slack. This alone must not
 		// send them over the link between regions, which is paid by volume.
 		Margin: node.options.CrossMargin + node.options.Keeper.Slack,
 	}
 	if len(service.lessors.Local) == 0 {
-		asked.Margin = 0
+		lessors.Margin = 0
 	}
 	if node.mayCrossRegions(now, service) {
-		asked.Remote = berylroute.Window(service.lessors.Remote, maxRemoteLessors, service.round)
+		lessors.Remote = berylroute.Window(service.lessors.Remote, maxRemoteLessors, service.round)
 	}
-	return asked
+	return lessors
 }
 
 const (
@@ -181,7 +181,7 @@
 	var best berylspoke.Process
 	bestRank := -1
 	for _, vm := range berylroute.Preferred("witness of "+string(node.self.VM), node.table.Live()) {
-		incarnation := node.table.Known(vm)
+		incarnation := node.table.Incarnation(vm)
 		if vm == node.self.VM || incarnation == 0 {
 			continue
 		}
--- a/core/berylnode/requests.go
+++ b/core/berylnode/requests.go
@@ -60,7 +60,7 @@
 func (node *Node) Retry(now time.Time) bool { return node.retryBudget.Spend(now, 1) }
 
 func (node *Node) updateVirtualTime(now time.Time, service *service) {
-	service.queue.SetVirtualTime(service.holder.Time(now, service.lessors.Local))
+	service.queue.SetVirtualTime(service.holder.VirtualTime(now, service.lessors.Local))
 }
 
 // refuse ends a request that never reached a target.
@@ -70,7 +70,7 @@
 		return
 	}
 	delete(node.waiting, id)
-	if request.Call != nil && !node.owner.GiveUp(now, *request.Call) {
+	if request.Call != nil && !node.owner.Abandon(now, *request.Call) {
 		return
 	}
 	node.effects.Refusals = append(node.effects.Refusals, Refuse{id, &berylspoke.Refusal{
@@ -103,42 +103,42 @@
 func (node *Node) dispatch(now time.Time, service *service) {
 	node.updateVirtualTime(now, service)
 	for service.queue.Waiting() > 0 {
-		places := node.usablePlaces(now, service)
-		if len(places) == 0 {
+		placements := node.usablePlacements(now, service)
+		if len(placements) == 0 {
 			return
 		}
 		started, ok := service.queue.Pop()
 		if !ok {
 			return
 		}
-		node.startRequest(now, service, started, node.choosePlace(places, started.Prefix))
+		node.startRequest(now, service, started, node.choosePlacement(placements, started.Prefix))
 	}
 }
 
-// usablePlaces returns the places where the next request may start.
-func (node *Node) usablePlaces(now time.Time, service *service) []berylslot.Place {
+// usablePlacements returns the placements where the next request may start.
+func (node *Node) usablePlacements(now time.Time, service *service) []berylslot.Placement {
 	if node.ignoresLeases() {
-		return node.randomPlace(now, service)
+		return node.randomPlacement(now, service)
 	}
 	cross := node.mayCrossRegions(now, service)
 	tag, _ := service.queue.Head()
-	var usable []berylslot.Place
-	for _, place := range service.holder.Free(now, tag) {
-		// A leaving target has no lessor any more. Slots leased before it was declared
-		// leaving must not be used.
-		if service.lessors.Of[place.Target] == "" || !node.health.Usable(now, place.Target) {
+	var usable []berylslot.Placement
+	for _, placement := range service.holder.Free(now, tag) {
+		// A draining target has no lessor any more. Slots leased before it was declared
+		// draining must not be used.
+		if service.lessors.Of[placement.Target] == "" || !node.health.Usable(now, placement.Target) {
 			continue
 		}
-		if !cross && node.isRemote(place.Target) {
+		if !cross && node.isRemote(placement.Target) {
 			continue
 		}
-		usable = append(usable, place)
+		usable = append(usable, placement)
 	}
 	return usable
 }
 
-// randomPlace returns one random usable target, for the baseline without lessors.
-func (node *Node) randomPlace(now time.Time, service *service) []berylslot.Place {
+// randomPlacement returns one random usable target, for the baseline without lessors.
+func (node *Node) randomPlacement(now time.Time, service *service) []berylslot.Placement {
 	targets := node.Declarations().TargetsOf(service.id)
 	var usable []berylspoke.TargetID
 	for _, target := range targets {
@@ -149,34 +149,34 @@
 	if len(usable) == 0 {
 		return nil
 	}
-	return []berylslot.Place{{Target: usable[node.random.IntN(len(usable))]}}
+	return []berylslot.Placement{{Target: usable[node.random.IntN(len(usable))]}}
 }
 
-// choosePlace prefers the target that holds the request's prompt prefix, then targets in
-// its own region, then the target with the most idle slots.
-func (node *Node) choosePlace(places []berylslot.Place, prefix uint64) berylslot.Place {
+// choosePlacement prefers the target that holds the request's prompt prefix, then targets
+// in its own region, then the target with the most idle slots.
+func (node *Node) choosePlacement(placements []berylslot.Placement, prefix uint64) berylslot.Placement {
 	if target := node.prefixes.Target(prefix); target != "" {
-		for _, place := range places {
-			if place.Target == target {
-				return place
+		for _, placement := range placements {
+			if placement.Target == target {
+				return placement
 			}
 		}
 	}
-	for _, place := range places {
-		if !node.isRemote(place.Target) {
-			return place
+	for _, placement := range placements {
+		if !node.isRemote(placement.Target) {
+			return placement
 		}
 	}
-	return places[0]
+	return placements[0]
 }
 
-func (node *Node) startRequest(now time.Time, service *service, started *berylshare.StartedRequest, place berylslot.Place) {
+func (node *Node) startRequest(now time.Time, service *service, started *berylshare.StartedRequest, placement berylslot.Placement) {
 	request := node.waiting[started.Request]
 	delete(node.waiting, started.Request)
-	if place.Keeper != "" {
-		service.holder.Start(now, place, started.Tag)
+	if placement.Lessor != "" {
+		service.holder.Start(now, placement, started.Tag)
 	}
-	active := &activeRequest{service: service, started: started, place: place, call: request.Call}
+	active := &activeRequest{service: service, started: started, placement: placement, call: request.Call}
 	node.running[started.Request] = active
 	if request.Call == nil {
 		node.launch(active)
@@ -187,8 +187,8 @@
 
 // launch appends the effect that sends the request to its target.
 func (node *Node) launch(active *activeRequest) {
-	node.prefixes.Note(active.started.Prefix, active.place.Target)
-	node.effects.Starts = append(node.effects.Starts, Start{active.started.Request, active.place.Target})
+	node.prefixes.Note(active.started.Prefix, active.placement.Target)
+	node.effects.Starts = append(node.effects.Starts, Start{active.started.Request, active.placement.Target})
 }
 
 // Progress charges the service that a running request received and records the time
@@ -199,7 +199,7 @@
 		return
 	}
 	active.service.queue.Progress(active.started, received)
-	active.service.holder.Pace(active.place, tokenInterval)
+	active.service.holder.RecordTokenInterval(active.placement, tokenInterval)
 }
 
 // Outcome is the result of an attempt at a target.
@@ -223,19 +223,19 @@
 	service := active.service
 	service.queue.Finish(active.started, outcome.Received)
 	if outcome.Failed {
-		node.health.Failed(now, active.place.Target)
+		node.health.Failed(now, active.placement.Target)
 	} else {
-		node.health.Worked(active.place.Target)
+		node.health.Worked(active.placement.Target)
 	}
-	if node.isRemote(active.place.Target) {
+	if node.isRemote(active.placement.Target) {
 		node.crossBudget.Charge(now, float64(outcome.Bytes))
 	}
 	if active.call != nil {
 		node.owner.Finish(now, *active.call, outcome.Verdict, outcome.Answer)
 	}
 	next, waiting := service.queue.Head()
-	if active.place.Keeper != "" {
-		service.holder.Finish(now, active.place, next, waiting)
+	if active.placement.Lessor != "" {
+		service.holder.Finish(now, active.placement, next, waiting)
 	}
 	node.dispatch(now, service)
 }
@@ -243,7 +243,7 @@
 // Target returns the target where a request runs, or "" if it is not running.
 func (node *Node) Target(id berylspoke.RequestID) berylspoke.TargetID {
 	if active := node.running[id]; active != nil {
-		return active.place.Target
+		return active.placement.Target
 	}
 	return ""
 }
--- a/core/berylroute/placement.go
+++ b/core/berylroute/placement.go
@@ -169,7 +169,7 @@
 
 // LedgerOf returns the VM that sums up an organisation's service.
 func LedgerOf(organisation berylspoke.OrganisationID, live []berylspoke.VMID) berylspoke.VMID {
-	return berylmember.Holder("organisation "+string(organisation), live)
+	return berylmember.TopRanked("organisation "+string(organisation), live)
 }
 
 // Preferred returns all VMs in falling score for the key.
--- a/core/berylslot/assign.go
+++ b/core/berylslot/assign.go
@@ -10,7 +10,7 @@
 )
 
 // Assign grants free slots and returns the leases to send.
-func (lessor *Keeper) Assign(now time.Time) []AddressedLease {
+func (lessor *Lessor) Assign(now time.Time) []AddressedLease {
 	for vm, holder := range lessor.holders {
 		if now.Sub(holder.lastReceived) > lessor.options.HolderTimeout {
 			delete(lessor.holders, vm)
@@ -31,7 +31,7 @@
 // free returns the free slots of each target. A lessor that has just taken a target over
 // has not yet received the demand of every entry daemon that runs requests there, so it
 // grants only half the limit for takeoverPeriod.
-func (lessor *Keeper) free(now time.Time) map[berylspoke.TargetID]int {
+func (lessor *Lessor) free(now time.Time) map[berylspoke.TargetID]int {
 	free := make(map[berylspoke.TargetID]int, len(lessor.limiters))
 	for target, limiter := range lessor.limiters {
 		out := lessor.outstanding(target)
@@ -54,7 +54,7 @@
 const takeoverPeriod = time.Second
 
 // sortedHolders returns the holders by VM, so that a run is reproducible.
-func (lessor *Keeper) sortedHolders() []*holderState {
+func (lessor *Lessor) sortedHolders() []*holderState {
 	holders := make([]*holderState, 0, len(lessor.holders))
 	for _, holder := range lessor.holders {
 		holders = append(holders, holder)
@@ -65,7 +65,7 @@
 
 // grantWaiting grants free slots to the lowest tags and returns the number of waiting
 // requests that got none.
-func (lessor *Keeper) grantWaiting(free map[berylspoke.TargetID]int) int {
+func (lessor *Lessor) grantWaiting(free map[berylspoke.TargetID]int) int {
 	holders := lessor.sortedHolders()
 	met := make([]int, len(holders))
 	unmet := 0
@@ -92,7 +92,7 @@
 
 // next returns the holder whose next unmet request has the lowest tag; with IgnoreTags it
 // takes the holders in turn.
-func (lessor *Keeper) next(holders []*holderState, met []int) int {
+func (lessor *Lessor) next(holders []*holderState, met []int) int {
 	best := -1
 	lessor.rotation++
 	for i := range holders {
@@ -122,7 +122,7 @@
 }
 
 // recall takes back the idle slots of holders that have no waiting request for them.
-func (lessor *Keeper) recall() {
+func (lessor *Lessor) recall() {
 	for _, holder := range lessor.holders {
 		surplus := holder.idle() - holder.waiting
 		for _, slots := range holder.targets {
@@ -137,7 +137,7 @@
 }
 
 // grantSpare grants spare slots to holders without idle ones while no request waits.
-func (lessor *Keeper) grantSpare(free map[berylspoke.TargetID]int) {
+func (lessor *Lessor) grantSpare(free map[berylspoke.TargetID]int) {
 	holders := lessor.sortedHolders()
 	for _, holder := range holders {
 		if holder.idle() > 0 {
@@ -167,7 +167,7 @@
 
 // leases returns the leases to send: to holders that are due one, whose contention
 // changed, or whose threshold fell below the one last sent.
-func (lessor *Keeper) leases(now time.Time, contended bool) []AddressedLease {
+func (lessor *Lessor) leases(now time.Time, contended bool) []AddressedLease {
 	var leases []AddressedLease
 	holders := lessor.sortedHolders()
 	for i, holder := range holders {
@@ -182,8 +182,8 @@
 		holder.lastSent = now
 		lease := Lease{
 			From: lessor.self, Service: lessor.service,
-			Sequence: holder.leaseSequence, Answers: holder.demandSequence,
-			Contended: contended, Threshold: threshold, Time: lessor.virtualTime,
+			Sequence: holder.leaseSequence, Acknowledged: holder.demandSequence,
+			Contended: contended, Threshold: threshold, VirtualTime: lessor.virtualTime,
 		}
 		for target, slots := range holder.targets {
 			lease.Grants = append(lease.Grants, Grant{target, slots.granted})
@@ -199,7 +199,7 @@
 
 // threshold returns the tag up to which a holder may reuse a freed slot: the lowest unmet
 // tag of the other holders, plus the slack.
-func (lessor *Keeper) threshold(holders []*holderState, self int) berylspoke.Tag {
+func (lessor *Lessor) threshold(holders []*holderState, self int) berylspoke.Tag {
 	lowest := noThreshold
 	for i, holder := range holders {
 		idle := holder.idle()
--- a/core/berylslot/dump.go
+++ b/core/berylslot/dump.go
@@ -8,8 +8,8 @@
 	"berylspoke"
 )
 
-// Slot is the dumped state of the slots of one target.
-type Slot struct {
+// TargetSlots is the dumped state of the slots of one target.
+type TargetSlots struct {
 	Target      berylspoke.TargetID `json:"target"`
 	Limit       int                 `json:"limit"`
 	Foreign     int                 `json:"foreign"`
@@ -29,16 +29,16 @@
 }
 
 // Slots lists the state of the targets leased here.
-func (lessor *Keeper) Slots() []Slot {
-	var list []Slot
+func (lessor *Lessor) Slots() []TargetSlots {
+	var list []TargetSlots
 	for _, target := range lessor.Targets() {
 		limiter := lessor.limiters[target]
-		list = append(list, Slot{target, limiter.limit, limiter.foreign, lessor.outstanding(target), lessor.holderLeases(target)})
+		list = append(list, TargetSlots{target, limiter.limit, limiter.foreign, lessor.outstanding(target), lessor.holderLeases(target)})
 	}
 	return list
 }
 
-func (lessor *Keeper) holderLeases(target berylspoke.TargetID) []HolderLease {
+func (lessor *Lessor) holderLeases(target berylspoke.TargetID) []HolderLease {
 	var list []HolderLease
 	for _, holder := range lessor.sortedHolders() {
 		if slots := holder.targets[target]; slots != nil {
@@ -52,8 +52,8 @@
 	return list
 }
 
-// HeldSlot is the dumped number of slots held on one target.
-type HeldSlot struct {
+// HeldSlots is the dumped number of slots held on one target.
+type HeldSlots struct {
 	Lessor berylspoke.VMID     `json:"keeper"`
 	Target berylspoke.TargetID `json:"target"`
 	Held   int                 `json:"held"`
@@ -61,11 +61,11 @@
 }
 
 // Held lists the slots held, by target and lessor.
-func (holder *Holder) Held() []HeldSlot {
-	var list []HeldSlot
+func (holder *Holder) Held() []HeldSlots {
+	var list []HeldSlots
 	for vm, view := range holder.lessors {
 		for target, held := range view.targets {
-			list = append(list, HeldSlot{vm, target, held.held, held.used})
+			list = append(list, HeldSlots{vm, target, held.held, held.used})
 		}
 	}
 	sort.Slice(list, func(i, j int) bool {
--- a/core/berylslot/holder.go
+++ b/core/berylslot/holder.go
@@ -68,19 +68,19 @@
 	service    berylspoke.ServiceID
 	lessors    map[berylspoke.VMID]*lessorView
 	lastActive time.Time
-	uses       Uses
+	uses       UseCounts
 }
 
-// Uses counts freed slots that were reused here, freed slots that were returned, and
+// UseCounts counts freed slots that were reused here, freed slots that were returned, and
 // granted slots that were returned unused because the next tag was above the threshold.
-type Uses struct {
+type UseCounts struct {
 	Reused   uint64 `json:"reused"`
 	Returned uint64 `json:"returned"`
 	Unused   uint64 `json:"refused"`
 }
 
 // Uses returns the counts so far.
-func (holder *Holder) Uses() Uses { return holder.uses }
+func (holder *Holder) Uses() UseCounts { return holder.uses }
 
 // NewHolder returns a holder without leases.
 func NewHolder(self berylspoke.Process, service berylspoke.ServiceID) *Holder {
@@ -96,8 +96,8 @@
 	return view
 }
 
-// Take applies a lease; one older than the last applied is dropped.
-func (holder *Holder) Take(lease Lease) {
+// ApplyLease applies a lease; one older than the last applied is dropped.
+func (holder *Holder) ApplyLease(lease Lease) {
 	view := holder.lessors[lease.From.VM]
 	if view == nil {
 		return
@@ -113,11 +113,11 @@
 		return
 	}
 	view.applied = lease.Sequence
-	view.contended, view.threshold, view.virtualTime = lease.Contended, lease.Threshold, lease.Time
-	if lease.Answers > view.acknowledged && lease.Answers <= view.demandSequence {
-		view.acknowledged = lease.Answers
-		if view.demandSequence-lease.Answers < uint32(len(view.sentAt)) {
-			view.validUntil = view.sentAt[lease.Answers%uint32(len(view.sentAt))].Add(LeaseDuration)
+	view.contended, view.threshold, view.virtualTime = lease.Contended, lease.Threshold, lease.VirtualTime
+	if lease.Acknowledged > view.acknowledged && lease.Acknowledged <= view.demandSequence {
+		view.acknowledged = lease.Acknowledged
+		if view.demandSequence-lease.Acknowledged < uint32(len(view.sentAt)) {
+			view.validUntil = view.sentAt[lease.Acknowledged%uint32(len(view.sentAt))].Add(LeaseDuration)
 		}
 	}
 	granted := make(map[berylspoke.TargetID]bool, len(lease.Grants))
@@ -141,13 +141,13 @@
 	}
 }
 
-// Place is a target together with the lessor that leased it.
-type Place struct {
-	Keeper berylspoke.VMID
+// Placement is a target together with the lessor that leased it.
+type Placement struct {
+	Lessor berylspoke.VMID
 	Target berylspoke.TargetID
 }
 
-// Free lists the places where a request of the given tag may start now, those with the
+// Free lists the placements where a request of the given tag may start now, those with the
 // most idle slots first. A lease is valid from the sending of the demand that it answers:
 // an entry daemon that was paused resumes with leases whose slots its lessor may have
 // granted to others, and must see them as expired.
@@ -155,10 +155,10 @@
 // Under contention a slot is only for tags within the lessor's threshold. Several lessors
 // see the same low tag and each grants it a slot; without this check an organisation that
 // lags by one request would start one per lessor.
-func (holder *Holder) Free(now time.Time, tag berylspoke.Tag) []Place {
+func (holder *Holder) Free(now time.Time, tag berylspoke.Tag) []Placement {
 	type candidate struct {
-		place Place
-		idle  int
+		placement Placement
+		idle      int
 	}
 	var candidates []candidate
 	for vm, view := range holder.lessors {
@@ -167,19 +167,19 @@
 		}
 		for target, held := range view.targets {
 			if held.held > held.used {
-				candidates = append(candidates, candidate{Place{vm, target}, held.held - held.used})
+				candidates = append(candidates, candidate{Placement{vm, target}, held.held - held.used})
 			}
 		}
 	}
 	sort.Slice(candidates, func(i, j int) bool {
 		left, right := candidates[i], candidates[j]
-		return left.idle > right.idle || left.idle == right.idle && left.place.Target < right.place.Target
+		return left.idle > right.idle || left.idle == right.idle && left.placement.Target < right.placement.Target
 	})
-	places := make([]Place, len(candidates))
+	placements := make([]Placement, len(candidates))
 	for i, candidate := range candidates {
-		places[i] = candidate.place
+		placements[i] = candidate.placement
 	}
-	return places
+	return placements
 }
 
 // admits reports whether a request of the tag may use this lessor's slots.
@@ -188,9 +188,9 @@
 }
 
 // Start takes a slot for a request of the given tag.
-func (holder *Holder) Start(now time.Time, place Place, tag berylspoke.Tag) {
-	view := holder.lessors[place.Keeper]
-	view.targets[place.Target].used++
+func (holder *Holder) Start(now time.Time, placement Placement, tag berylspoke.Tag) {
+	view := holder.lessors[placement.Lessor]
+	view.targets[placement.Target].used++
 	view.lastStart = now
 	view.maxStarted = max(view.maxStarted, tag)
 	holder.lastActive = now
@@ -199,9 +199,9 @@
 // Finish frees a slot. If the lease is valid, the slot is kept unless there is contention
 // and no request here is within the threshold; the next one has the tag next. Otherwise
 // it is returned at once.
-func (holder *Holder) Finish(now time.Time, place Place, next berylspoke.Tag, waiting bool) {
+func (holder *Holder) Finish(now time.Time, placement Placement, next berylspoke.Tag, waiting bool) {
 	holder.lastActive = now
-	view, held := holder.find(place)
+	view, held := holder.find(placement)
 	if held == nil {
 		return
 	}
@@ -218,23 +218,23 @@
 	holder.uses.Reused++
 }
 
-// find returns the slots of a place, whose target another lessor may have taken over
+// find returns the slots of a placement, whose target another lessor may have taken over
 // since the request started.
-func (holder *Holder) find(place Place) (*lessorView, *holding) {
-	if view := holder.lessors[place.Keeper]; view != nil && view.targets[place.Target] != nil {
-		return view, view.targets[place.Target]
+func (holder *Holder) find(placement Placement) (*lessorView, *holding) {
+	if view := holder.lessors[placement.Lessor]; view != nil && view.targets[placement.Target] != nil {
+		return view, view.targets[placement.Target]
 	}
 	for _, view := range holder.lessors {
-		if held := view.targets[place.Target]; held != nil {
+		if held := view.targets[placement.Target]; held != nil {
 			return view, held
 		}
 	}
 	return nil, nil
 }
 
-// Move reports to the new lessor of a target what still runs there: a lessor that took
-// the target over starts empty and would otherwise lease those slots again.
-func (holder *Holder) Move(target berylspoke.TargetID, to berylspoke.VMID) {
+// ReassignTarget reports to the new lessor of a target what still runs there: a lessor
+// that took the target over starts empty and would otherwise lease those slots again.
+func (holder *Holder) ReassignTarget(target berylspoke.TargetID, to berylspoke.VMID) {
 	for vm, view := range holder.lessors {
 		held := view.targets[target]
 		if vm == to || held == nil {
@@ -255,9 +255,9 @@
 	}
 }
 
-// Pace averages a time between tokens measured on a target.
-func (holder *Holder) Pace(place Place, interval time.Duration) {
-	_, held := holder.find(place)
+// RecordTokenInterval averages a time between tokens measured on a target.
+func (holder *Holder) RecordTokenInterval(placement Placement, interval time.Duration) {
+	_, held := holder.find(placement)
 	if held == nil || interval <= 0 {
 		return
 	}
@@ -284,9 +284,9 @@
 	}
 }
 
-// Drop expires the lease of a lessor that died; requests running on its targets continue
-// and are reported to the next lessor of the target.
-func (holder *Holder) Drop(vm berylspoke.VMID) {
+// ExpireLessor expires the lease of a lessor that died; requests running on its targets
+// continue and are reported to the next lessor of the target.
+func (holder *Holder) ExpireLessor(vm berylspoke.VMID) {
 	if view := holder.lessors[vm]; view != nil {
 		view.validUntil = time.Time{}
 		view.applied, view.acknowledged = 0, 0
@@ -294,10 +294,10 @@
 	}
 }
 
-// Time returns the virtual time of the service, the lowest among the given lessors whose
-// lease is valid, and whether there is one. Without a valid lease the known time may be
-// old.
-func (holder *Holder) Time(now time.Time, lessors []berylspoke.VMID) (berylspoke.Tag, bool) {
+// VirtualTime returns the virtual time of the service, the lowest among the given lessors
+// whose lease is valid, and whether there is one. Without a valid lease the known time
+// may be old.
+func (holder *Holder) VirtualTime(now time.Time, lessors []berylspoke.VMID) (berylspoke.Tag, bool) {
 	lowest, found := berylspoke.Tag(0), false
 	for _, vm := range lessors {
 		view := holder.lessors[vm]
@@ -311,24 +311,24 @@
 	return lowest, found
 }
 
-// Need summarises the queue of an entry daemon at one moment.
-type Need struct {
-	Waiting int
-	Tags    []berylspoke.Tag
-	Time    berylspoke.Tag
+// QueueState summarises the queue of an entry daemon at one moment.
+type QueueState struct {
+	Waiting     int
+	Tags        []berylspoke.Tag
+	VirtualTime berylspoke.Tag
 }
 
-// Asked are the lessors that an entry daemon requests slots from. Remote ones are in
+// Lessors are the lessors that an entry daemon requests slots from. Remote ones are in
 // another region, and their slots are only for requests whose tags are lower by the
 // margin than those waiting there.
-type Asked struct {
+type Lessors struct {
 	Local, Remote []berylspoke.VMID
 	Margin        berylspoke.Tag
 }
 
-// Asks returns the demands to send now. Lessors that are not listed get a demand of zero,
-// and no further ones.
-func (holder *Holder) Asks(now time.Time, lessors Asked, need Need) []AddressedDemand {
+// Demands returns the demands to send now. Lessors that are not listed get a demand of
+// zero, and no further ones.
+func (holder *Holder) Demands(now time.Time, lessors Lessors, state QueueState) []AddressedDemand {
 	listed := make(map[berylspoke.VMID]bool, len(lessors.Local)+len(lessors.Remote))
 	for _, vm := range lessors.Local {
 		listed[vm] = true
@@ -341,9 +341,9 @@
 	var demands []AddressedDemand
 	for _, vm := range holder.sortedLessors() {
 		view := holder.lessors[vm]
-		effective := need
+		effective := state
 		if !listed[vm] {
-			effective = Need{Time: need.Time}
+			effective = QueueState{VirtualTime: state.VirtualTime}
 			view.returnIdle()
 			if view.used() == 0 && now.Sub(view.lastSent) > forgetAfter {
 				delete(holder.lessors, vm)
@@ -389,7 +389,7 @@
 type AddressedDemand struct {
 	To     berylspoke.VMID
 	Urgent bool
-	Ask    Ask
+	Demand Demand
 }
 
 func (view *lessorView) used() int {
@@ -409,14 +409,14 @@
 }
 
 // due reports whether a demand must be sent to a lessor now, and whether it is urgent.
-func (holder *Holder) due(now time.Time, view *lessorView, need Need) (due, urgent bool) {
+func (holder *Holder) due(now time.Time, view *lessorView, state QueueState) (due, urgent bool) {
 	sinceSent := now.Sub(view.lastSent)
 	if view.dirty {
 		return true, true
 	}
-	if need.Waiting > 0 {
-		grew := need.Waiting > view.reportedWaiting && view.reportedWaiting < maxDemandTags
-		overtook := len(need.Tags) > 0 && need.Tags[0]+view.margin < view.reportedHead && sinceSent >= lowerTagInterval
+	if state.Waiting > 0 {
+		grew := state.Waiting > view.reportedWaiting && view.reportedWaiting < maxDemandTags
+		overtook := len(state.Tags) > 0 && state.Tags[0]+view.margin < view.reportedHead && sinceSent >= lowerTagInterval
 		return grew || overtook || sinceSent >= resendTagsAfter, grew || overtook
 	}
 	if view.used() == 0 && (view.idle() == 0 || now.Sub(holder.lastActive) > activeWindow) {
@@ -426,19 +426,19 @@
 	return depleted || sinceSent >= renewAfter, depleted
 }
 
-func (holder *Holder) newDemand(now time.Time, view *lessorView, need Need) Ask {
+func (holder *Holder) newDemand(now time.Time, view *lessorView, state QueueState) Demand {
 	view.demandSequence++
 	view.sentAt[view.demandSequence%uint32(len(view.sentAt))] = now
 	view.lastSent = now
 	view.dirty = false
-	view.reportedWaiting = need.Waiting
+	view.reportedWaiting = state.Waiting
 	view.reportedHead = 0
-	demand := Ask{
+	demand := Demand{
 		From: holder.self, Service: holder.service,
 		Sequence: view.demandSequence, Applied: view.applied,
-		Waiting: need.Waiting, Time: need.Time, Started: view.maxStarted,
+		Waiting: state.Waiting, VirtualTime: state.VirtualTime, MaxStarted: view.maxStarted,
 	}
-	for _, tag := range need.Tags {
+	for _, tag := range state.Tags {
 		demand.Tags = append(demand.Tags, tag+view.margin)
 	}
 	if len(demand.Tags) > 0 {
@@ -449,11 +449,11 @@
 			delete(view.targets, target)
 			continue
 		}
-		demand.Holds = append(demand.Holds, Hold{target, held.held, held.used, held.tokenInterval})
+		demand.Holdings = append(demand.Holdings, Holding{target, held.held, held.used, held.tokenInterval})
 	}
-	sort.Slice(demand.Holds, func(i, j int) bool { return demand.Holds[i].Target < demand.Holds[j].Target })
+	sort.Slice(demand.Holdings, func(i, j int) bool { return demand.Holdings[i].Target < demand.Holdings[j].Target })
 	return demand
 }
 
-// AskTags is the maximum number of tags in a demand.
-const AskTags = maxDemandTags
+// MaxDemandTags is the maximum number of tags in a demand.
+const MaxDemandTags = maxDemandTags
--- a/core/berylslot/keeper.go
+++ b/core/berylslot/lessor.go
@@ -9,8 +9,8 @@
 	"berylspoke"
 )
 
-// KeeperOptions bound the leases of a lessor.
-type KeeperOptions struct {
+// LessorOptions bound the leases of a lessor.
+type LessorOptions struct {
 	// SpareSlots is the number of idle slots that an entry daemon may be granted at a
 	// time while no request waits.
 	SpareSlots int
@@ -28,9 +28,9 @@
 	Limiter    LimiterOptions
 }
 
-// DefaultKeeperOptions returns the options of a daemon.
-func DefaultKeeperOptions() KeeperOptions {
-	return KeeperOptions{
+// DefaultLessorOptions returns the options of a daemon.
+func DefaultLessorOptions() LessorOptions {
+	return LessorOptions{
 		SpareSlots:    2,
 		Slack:         0,
 		HolderTimeout: LeaseDuration + 3*time.Second,
@@ -84,9 +84,9 @@
 	return holder.tags[min(skip, len(holder.tags)-1)]
 }
 
-// Keeper leases the targets of one service that are assigned to this daemon.
-type Keeper struct {
-	options     KeeperOptions
+// Lessor leases the targets of one service that are assigned to this daemon.
+type Lessor struct {
+	options     LessorOptions
 	self        berylspoke.Process
 	service     berylspoke.ServiceID
 	limiters    map[berylspoke.TargetID]*Limiter
@@ -102,9 +102,9 @@
 	sequence uint32
 }
 
-// NewKeeper returns a lessor without targets.
-func NewKeeper(now time.Time, self berylspoke.Process, service berylspoke.ServiceID, options KeeperOptions) *Keeper {
-	return &Keeper{
+// NewLessor returns a lessor without targets.
+func NewLessor(now time.Time, self berylspoke.Process, service berylspoke.ServiceID, options LessorOptions) *Lessor {
+	return &Lessor{
 		options:   options,
 		self:      self,
 		service:   service,
@@ -115,7 +115,7 @@
 }
 
 // SetTargets sets the targets that this daemon leases; slots of other targets lapse.
-func (lessor *Keeper) SetTargets(now time.Time, targets []berylspoke.TargetID) {
+func (lessor *Lessor) SetTargets(now time.Time, targets []berylspoke.TargetID) {
 	limiters := make(map[berylspoke.TargetID]*Limiter, len(targets))
 	for _, target := range targets {
 		limiters[target] = lessor.limiters[target]
@@ -136,7 +136,7 @@
 }
 
 // Targets returns the leased targets, sorted by id.
-func (lessor *Keeper) Targets() []berylspoke.TargetID {
+func (lessor *Lessor) Targets() []berylspoke.TargetID {
 	targets := make([]berylspoke.TargetID, 0, len(lessor.limiters))
 	for target := range lessor.limiters {
 		targets = append(targets, target)
@@ -146,13 +146,13 @@
 }
 
 // Limiter returns a target's limiter, or nil.
-func (lessor *Keeper) Limiter(target berylspoke.TargetID) *Limiter { return lessor.limiters[target] }
+func (lessor *Lessor) Limiter(target berylspoke.TargetID) *Limiter { return lessor.limiters[target] }
 
 // VirtualTime returns the highest tag started on this lessor's targets.
-func (lessor *Keeper) VirtualTime() berylspoke.Tag { return lessor.virtualTime }
+func (lessor *Lessor) VirtualTime() berylspoke.Tag { return lessor.virtualTime }
 
 // Report applies a target's load report.
-func (lessor *Keeper) Report(now time.Time, target berylspoke.TargetID, report berylspoke.LoadReport) {
+func (lessor *Lessor) Report(now time.Time, target berylspoke.TargetID, report berylspoke.LoadReport) {
 	limiter := lessor.limiters[target]
 	if limiter == nil {
 		return
@@ -162,7 +162,7 @@
 }
 
 // outstanding returns the number of slots of a target that entry daemons may be using.
-func (lessor *Keeper) outstanding(target berylspoke.TargetID) int {
+func (lessor *Lessor) outstanding(target berylspoke.TargetID) int {
 	out := 0
 	for _, holder := range lessor.holders {
 		if slots := holder.targets[target]; slots != nil {
@@ -172,8 +172,9 @@
 	return out
 }
 
-// Ask applies an entry daemon's demand; one older than the last received is dropped.
-func (lessor *Keeper) Ask(now time.Time, demand Ask) {
+// ApplyDemand applies an entry daemon's demand; one older than the last received is
+// dropped.
+func (lessor *Lessor) ApplyDemand(now time.Time, demand Demand) {
 	holder := lessor.holders[demand.From.VM]
 	if holder != nil && holder.process != demand.From {
 		if demand.From.Incarnation < holder.process.Incarnation {
@@ -212,29 +213,29 @@
 // advanceTime advances the virtual time; a lessor that starts empty adopts the entry
 // daemons' time, or organisations with a new backlog would take precedence over all
 // others for long.
-func (lessor *Keeper) advanceTime(demand Ask) {
+func (lessor *Lessor) advanceTime(demand Demand) {
 	if lessor.virtualTime == 0 {
-		lessor.virtualTime = demand.Time
+		lessor.virtualTime = demand.VirtualTime
 	}
-	lessor.virtualTime = max(lessor.virtualTime, demand.Started)
+	lessor.virtualTime = max(lessor.virtualTime, demand.MaxStarted)
 }
 
 // reconcile updates the records of a holder from the slots that its demand reports.
-func (lessor *Keeper) reconcile(now time.Time, holder *holderState, demand Ask) {
+func (lessor *Lessor) reconcile(now time.Time, holder *holderState, demand Demand) {
 	confirmed := demand.Applied == holder.leaseSequence
-	reported := make(map[berylspoke.TargetID]bool, len(demand.Holds))
-	for _, hold := range demand.Holds {
-		limiter := lessor.limiters[hold.Target]
+	reported := make(map[berylspoke.TargetID]bool, len(demand.Holdings))
+	for _, holding := range demand.Holdings {
+		limiter := lessor.limiters[holding.Target]
 		if limiter == nil {
 			holder.dirty = true
 			continue
 		}
-		reported[hold.Target] = true
-		limiter.RecordTokenInterval(hold.Pace)
-		held := holder.slotsOn(hold.Target)
-		held.held, held.used = hold.Held, hold.Used
+		reported[holding.Target] = true
+		limiter.RecordTokenInterval(holding.TokenInterval)
+		held := holder.slotsOn(holding.Target)
+		held.held, held.used = holding.Held, holding.Used
 		if confirmed {
-			held.granted, held.peak = hold.Held, hold.Held
+			held.granted, held.peak = holding.Held, holding.Held
 		}
 	}
 	for target, slots := range holder.targets {
@@ -260,5 +261,5 @@
 	return found
 }
 
-// Drop takes back the slots of a daemon that died.
-func (lessor *Keeper) Drop(vm berylspoke.VMID) { delete(lessor.holders, vm) }
+// RemoveHolder takes back the slots of a daemon that died.
+func (lessor *Lessor) RemoveHolder(vm berylspoke.VMID) { delete(lessor.holders, vm) }
--- a/core/berylslot/limiter.go
+++ b/core/berylslot/limiter.go
@@ -11,8 +11,8 @@
 // LimiterOptions bound the search for a target's concurrency.
 type LimiterOptions struct {
 	Initial, Max int
-	// Pace is the goal for the mean time between tokens.
-	Pace time.Duration
+	// TokenInterval is the goal for the mean time between tokens.
+	TokenInterval time.Duration
 	// ProbeInterval is the time from a change of the limit to the next raise, once
 	// congestion was seen; it doubles with each raise that leads to congestion, up to
 	// MaxProbeInterval.
@@ -21,7 +21,7 @@
 
 // DefaultLimiterOptions aims below the time between tokens that callers want.
 func DefaultLimiterOptions() LimiterOptions {
-	return LimiterOptions{Initial: 4, Max: 1024, Pace: 30 * time.Millisecond, ProbeInterval: 5 * time.Second, MaxProbeInterval: 2 * time.Minute}
+	return LimiterOptions{Initial: 4, Max: 1024, TokenInterval: 30 * time.Millisecond, ProbeInterval: 5 * time.Second, MaxProbeInterval: 2 * time.Minute}
 }
 
 // reportWindow is the period over which past use is compared with a load report, which
@@ -96,7 +96,7 @@
 		peak = max(peak, sample.used)
 	}
 	limiter.foreign = max(report.Running+report.Waiting-peak, 0)
-	slow := limiter.tokenInterval > limiter.options.Pace
+	slow := limiter.tokenInterval > limiter.options.TokenInterval
 	switch {
 	case report.Waiting > 0 && report.Running > 0:
 		limiter.reduce(now, report.Running)
--- a/core/berylslot/messages.go
+++ b/core/berylslot/messages.go
@@ -8,17 +8,17 @@
 	"berylspoke"
 )
 
-// Hold is the number of slots of one target that an entry daemon holds and uses.
-type Hold struct {
+// Holding is the number of slots of one target that an entry daemon holds and uses.
+type Holding struct {
 	Target berylspoke.TargetID
 	Held   int
 	Used   int
-	// Pace is the mean time between tokens measured on the target, zero if none.
-	Pace time.Duration
+	// TokenInterval is the mean time between tokens measured on the target, zero if none.
+	TokenInterval time.Duration
 }
 
-// Ask is an entry daemon's complete demand towards one lessor for one service.
-type Ask struct {
+// Demand is an entry daemon's complete demand towards one lessor for one service.
+type Demand struct {
 	From    berylspoke.Process
 	Service berylspoke.ServiceID
 	// Sequence numbers the demands of a process; Applied is the sequence of the last
@@ -26,14 +26,14 @@
 	Sequence, Applied uint32
 	Waiting           int
 	Tags              []berylspoke.Tag
-	// Time is the virtual time of the entry daemon; Started is the highest tag that it
-	// started on the lessor's targets.
-	Time, Started berylspoke.Tag
-	Holds         []Hold
+	// VirtualTime is the virtual time of the entry daemon; MaxStarted is the highest tag
+	// that it started on the lessor's targets.
+	VirtualTime, MaxStarted berylspoke.Tag
+	Holdings                []Holding
 }
 
 // PeerMessage implements berylspoke.Message.
-func (Ask) PeerMessage() {}
+func (Demand) PeerMessage() {}
 
 // Grant is the number of slots of a target that an entry daemon may hold.
 type Grant struct {
@@ -45,21 +45,21 @@
 type Lease struct {
 	From    berylspoke.Process
 	Service berylspoke.ServiceID
-	// Sequence numbers the leases of a process; Answers is the sequence of the last
+	// Sequence numbers the leases of a process; Acknowledged is the sequence of the last
 	// demand received.
-	Sequence, Answers uint32
-	Contended         bool
+	Sequence, Acknowledged uint32
+	Contended              bool
 	// Threshold is the highest tag that may reuse a freed slot.
 	Threshold berylspoke.Tag
-	// Time is the virtual time of the lessor.
-	Time   berylspoke.Tag
-	Grants []Grant
+	// VirtualTime is the virtual time of the lessor.
+	VirtualTime berylspoke.Tag
+	Grants      []Grant
 }
 
 // PeerMessage implements berylspoke.Message.
 func (Lease) PeerMessage() {}
 
 var (
-	_ berylspoke.Message = Ask{}
+	_ berylspoke.Message = Demand{}
 	_ berylspoke.Message = Lease{}
 )
--- a/core/berylslot/slot_test.go
+++ b/core/berylslot/slot_test.go
@@ -20,11 +20,11 @@
 // which may be lost, duplicated and reordered.
 type pool struct {
 	now          time.Time
-	lessor       *Keeper
+	lessor       *Lessor
 	holders      map[berylspoke.VMID]*Holder
 	waiting      map[berylspoke.VMID]int
-	running      map[berylspoke.VMID][]Place
-	demands      []Ask
+	running      map[berylspoke.VMID][]Placement
+	demands      []Demand
 	leases       []AddressedLease
 	incarnations berylspoke.Incarnation
 	// reclaimed is set once the lessor took back the slots of a silent entry daemon that
@@ -35,7 +35,7 @@
 func newPool() *pool {
 	pool := &pool{
 		now: time.Unix(1000, 0), holders: make(map[berylspoke.VMID]*Holder),
-		waiting: make(map[berylspoke.VMID]int), running: make(map[berylspoke.VMID][]Place),
+		waiting: make(map[berylspoke.VMID]int), running: make(map[berylspoke.VMID][]Placement),
 	}
 	pool.restartLessor()
 	for _, vm := range []berylspoke.VMID{"e1", "e2", "e3"} {
@@ -46,9 +46,9 @@
 
 func (pool *pool) restartLessor() {
 	pool.incarnations++
-	options := DefaultKeeperOptions()
+	options := DefaultLessorOptions()
 	options.Limiter.Initial = targetLimit
-	pool.lessor = NewKeeper(pool.now, berylspoke.Process{VM: lessorVM, Incarnation: pool.incarnations}, "model", options)
+	pool.lessor = NewLessor(pool.now, berylspoke.Process{VM: lessorVM, Incarnation: pool.incarnations}, "model", options)
 	pool.lessor.SetTargets(pool.now, []berylspoke.TargetID{"t1", "t2"})
 }
 
@@ -63,18 +63,18 @@
 func (pool *pool) exchange(vm berylspoke.VMID) {
 	holder := pool.holders[vm]
 	for pool.waiting[vm] > 0 {
-		places := holder.Free(pool.now, 0)
-		if len(places) == 0 {
+		placements := holder.Free(pool.now, 0)
+		if len(placements) == 0 {
 			break
 		}
-		holder.Start(pool.now, places[0], 0)
-		pool.running[vm] = append(pool.running[vm], places[0])
+		holder.Start(pool.now, placements[0], 0)
+		pool.running[vm] = append(pool.running[vm], placements[0])
 		pool.waiting[vm]--
 	}
 	holder.Release(0, pool.waiting[vm] > 0)
-	need := Need{Waiting: pool.waiting[vm], Tags: make([]berylspoke.Tag, min(pool.waiting[vm], AskTags))}
-	for _, demand := range holder.Asks(pool.now, Asked{Local: []berylspoke.VMID{lessorVM}}, need) {
-		pool.demands = append(pool.demands, demand.Ask)
+	state := QueueState{Waiting: pool.waiting[vm], Tags: make([]berylspoke.Tag, min(pool.waiting[vm], MaxDemandTags))}
+	for _, demand := range holder.Demands(pool.now, Lessors{Local: []berylspoke.VMID{lessorVM}}, state) {
+		pool.demands = append(pool.demands, demand.Demand)
 	}
 }
 
@@ -97,8 +97,8 @@
 func (pool *pool) used(target berylspoke.TargetID) int {
 	used := 0
 	for _, running := range pool.running {
-		for _, place := range running {
-			if place.Target == target {
+		for _, placement := range running {
+			if placement.Target == target {
 				used++
 			}
 		}
@@ -110,11 +110,11 @@
 func (pool *pool) deliver(duration time.Duration) {
 	for end := pool.now.Add(duration); pool.now.Before(end); pool.now = pool.now.Add(50 * time.Millisecond) {
 		for _, demand := range pool.demands {
-			pool.lessor.Ask(pool.now, demand)
+			pool.lessor.ApplyDemand(pool.now, demand)
 		}
 		pool.demands = nil
 		for _, lease := range pool.lessor.Assign(pool.now) {
-			pool.holders[lease.To].Take(lease.Lease)
+			pool.holders[lease.To].ApplyLease(lease.Lease)
 		}
 		for _, vm := range []berylspoke.VMID{"e1", "e2", "e3"} {
 			pool.exchange(vm)
@@ -137,7 +137,7 @@
 			"entry":  func(t *rapid.T) { pool.exchange(vm(t)) },
 			"ask": func(t *rapid.T) {
 				if len(pool.demands) > 0 {
-					pool.lessor.Ask(pool.now, pool.demands[rapid.IntRange(0, len(pool.demands)-1).Draw(t, "ask")])
+					pool.lessor.ApplyDemand(pool.now, pool.demands[rapid.IntRange(0, len(pool.demands)-1).Draw(t, "ask")])
 				}
 			},
 			"assign": func(*rapid.T) { pool.assign() },
@@ -146,12 +146,12 @@
 				from := vm(t)
 				pool.exchange(from)
 				if len(pool.demands) > 0 {
-					pool.lessor.Ask(pool.now, pool.demands[len(pool.demands)-1])
+					pool.lessor.ApplyDemand(pool.now, pool.demands[len(pool.demands)-1])
 				}
 				pool.assign()
 				for _, lease := range pool.leases {
 					if lease.To == from {
-						pool.holders[from].Take(lease.Lease)
+						pool.holders[from].ApplyLease(lease.Lease)
 					}
 				}
 				pool.exchange(from)
@@ -159,7 +159,7 @@
 			"lease": func(t *rapid.T) {
 				if len(pool.leases) > 0 {
 					lease := pool.leases[rapid.IntRange(0, len(pool.leases)-1).Draw(t, "lease")]
-					pool.holders[lease.To].Take(lease.Lease)
+					pool.holders[lease.To].ApplyLease(lease.Lease)
 				}
 			},
 			"time": func(t *rapid.T) {
@@ -262,11 +262,11 @@
 	for _, entries := range []int{8, 40, 340} {
 		b.Run(fmt.Sprintf("entries=%d", entries), func(b *testing.B) {
 			now := time.Unix(0, 0)
-			lessor := NewKeeper(now, berylspoke.Process{VM: lessorVM, Incarnation: 1}, "model", DefaultKeeperOptions())
+			lessor := NewLessor(now, berylspoke.Process{VM: lessorVM, Incarnation: 1}, "model", DefaultLessorOptions())
 			lessor.SetTargets(now, []berylspoke.TargetID{"t1", "t2"})
 			b.ReportAllocs()
 			for i := range b.N {
-				lessor.Ask(now, Ask{
+				lessor.ApplyDemand(now, Demand{
 					From:    berylspoke.Process{VM: berylspoke.VMID(fmt.Sprint(i % entries)), Incarnation: 1},
 					Service: "model", Sequence: uint32(i/entries + 1), Waiting: 10, Tags: make([]berylspoke.Tag, 8),
 				})
--- a/core/berylticket/messages.go
+++ b/core/berylticket/messages.go
@@ -31,33 +31,33 @@
 type SettleAnswer struct {
 	ID        CallID
 	Token     uint64
-	Standing  Standing
+	Status    Status
 	ByWitness bool
 }
 
-// Standing is the state of an id as one process knows it.
-type Standing uint8
+// Status is the state of an id as one process knows it.
+type Status uint8
 
 // The statuses of an id.
 const (
-	// Unknowable means that the process named in the id is gone.
-	Unknowable Standing = iota
-	// Pending means that the owner has not finished the id yet.
-	Pending
-	// StandsNotRun means that the id has not run and never will.
-	StandsNotRun
-	// StandsRan means that a target executed the id.
-	StandsRan
-	// StandsMayHaveRun means that nobody can tell whether the id ran.
-	StandsMayHaveRun
+	// StatusUnknown means that the process named in the id is gone.
+	StatusUnknown Status = iota
+	// StatusPending means that the owner has not finished the id yet.
+	StatusPending
+	// StatusNotRun means that the id has not run and never will.
+	StatusNotRun
+	// StatusRan means that a target executed the id.
+	StatusRan
+	// StatusMayHaveRun means that nobody can tell whether the id ran.
+	StatusMayHaveRun
 )
 
 // Verdict returns the verdict of a status; a pending id may have run.
-func (status Standing) Verdict() berylspoke.Verdict {
+func (status Status) Verdict() berylspoke.Verdict {
 	switch status {
-	case StandsNotRun:
+	case StatusNotRun:
 		return berylspoke.NotRun
-	case StandsRan:
+	case StatusRan:
 		return berylspoke.Ran
 	default:
 		return berylspoke.MayHaveRun
--- a/core/berylticket/owner.go
+++ b/core/berylticket/owner.go
@@ -70,9 +70,9 @@
 // Owns reports whether this process alone may dispatch the id.
 func (owner *Owner) Owns(id CallID) bool { return id.Ticket.Owner == owner.self }
 
-// Begin returns the record of an id, created if needed, and whether it is new; a nil
+// Register returns the record of an id, created if needed, and whether it is new; a nil
 // record means that the id lies below the watermark and its outcome is lost.
-func (owner *Owner) Begin(now time.Time, id CallID) (*Record, bool) {
+func (owner *Owner) Register(now time.Time, id CallID) (*Record, bool) {
 	if id.Ticket.Serial <= owner.watermark || id.Ticket.Serial > owner.lastSerial {
 		return nil, false
 	}
@@ -129,10 +129,10 @@
 	return false
 }
 
-// Ask advances a queued id to requesting its permit; false means that the id was settled
-// meanwhile and must not be dispatched. An id without a witness needs no permit and is
-// dispatched at once.
-func (owner *Owner) Ask(now time.Time, id CallID) bool {
+// RequestPermit advances a queued id to requesting its permit; false means that the id
+// was settled meanwhile and must not be dispatched. An id without a witness needs no
+// permit and is dispatched at once.
+func (owner *Owner) RequestPermit(now time.Time, id CallID) bool {
 	record := owner.Record(id)
 	if record == nil || record.Stage != Queued {
 		return false
@@ -156,9 +156,9 @@
 	return true, false
 }
 
-// GiveUp finishes an id that was not dispatched as not run; it returns false if the id
+// Abandon finishes an id that was not dispatched as not run; it returns false if the id
 // was dispatched or finished before.
-func (owner *Owner) GiveUp(now time.Time, id CallID) bool {
+func (owner *Owner) Abandon(now time.Time, id CallID) bool {
 	record := owner.Record(id)
 	if record == nil || record.Stage == Dispatched || record.Stage == Finished {
 		return false
@@ -194,26 +194,26 @@
 
 // Settle returns the status of an id. It closes an id that has no record yet: a delayed
 // request that arrives later finds it finished.
-func (owner *Owner) Settle(now time.Time, id CallID) Standing {
+func (owner *Owner) Settle(now time.Time, id CallID) Status {
 	if !owner.Owns(id) {
-		return Unknowable
+		return StatusUnknown
 	}
-	record, isNew := owner.Begin(now, id)
+	record, isNew := owner.Register(now, id)
 	if record == nil {
-		return StandsMayHaveRun
+		return StatusMayHaveRun
 	}
 	if isNew {
 		owner.Finish(now, id, berylspoke.NotRun, berylspoke.Answer{})
 	}
 	if record.Stage != Finished {
-		return Pending
+		return StatusPending
 	}
 	switch record.Verdict {
 	case berylspoke.NotRun:
-		return StandsNotRun
+		return StatusNotRun
 	case berylspoke.Ran:
-		return StandsRan
+		return StatusRan
 	default:
-		return StandsMayHaveRun
+		return StatusMayHaveRun
 	}
 }
--- a/core/berylticket/ticket_test.go
+++ b/core/berylticket/ticket_test.go
@@ -57,16 +57,16 @@
 			"mint": mint,
 			"call": func(t *rapid.T) {
 				if id := simulation.drawID(t); simulation.owner.Owns(id) {
-					simulation.owner.Begin(simulation.now, id)
+					simulation.owner.Register(simulation.now, id)
 				}
 			},
 			"ask": func(t *rapid.T) {
-				if id := simulation.drawID(t); simulation.owner.Owns(id) && simulation.owner.Ask(simulation.now, id) {
+				if id := simulation.drawID(t); simulation.owner.Owns(id) && simulation.owner.RequestPermit(simulation.now, id) {
 					simulation.permits = append(simulation.permits, PermitRequest{id})
 				}
 			},
 			"giveUp": func(t *rapid.T) {
-				if id := simulation.drawID(t); simulation.owner.Owns(id) && simulation.owner.GiveUp(simulation.now, id) {
+				if id := simulation.drawID(t); simulation.owner.Owns(id) && simulation.owner.Abandon(simulation.now, id) {
 					simulation.notRun[id] = true
 				}
 			},
@@ -100,12 +100,12 @@
 				simulation.inFlight = nil
 			},
 			"settleAtOwner": func(t *rapid.T) {
-				if id := simulation.drawID(t); simulation.owner.Settle(simulation.now, id) == StandsNotRun {
+				if id := simulation.drawID(t); simulation.owner.Settle(simulation.now, id) == StatusNotRun {
 					simulation.notRun[id] = true
 				}
 			},
 			"closeAtWitness": func(t *rapid.T) {
-				if id := simulation.drawID(t); simulation.witness.Close(id) == StandsNotRun {
+				if id := simulation.drawID(t); simulation.witness.Close(id) == StatusNotRun {
 					simulation.notRun[id] = true
 				}
 			},
--- a/core/berylticket/witness.go
+++ b/core/berylticket/witness.go
@@ -54,14 +54,14 @@
 }
 
 // Close closes the id unless a permit was granted before, and returns its status.
-func (witness *Witness) Close(id CallID) Standing {
+func (witness *Witness) Close(id CallID) Status {
 	if id.Ticket.Witness != witness.self {
-		return Unknowable
+		return StatusUnknown
 	}
 	if witness.decide(id, closed) == closed {
-		return StandsNotRun
+		return StatusNotRun
 	}
-	return StandsMayHaveRun
+	return StatusMayHaveRun
 }
 
 // decide sets the mark of the id unless it has one and returns the mark in force. Marks
--- a/io/beryledge/actor.go
+++ b/io/beryledge/actor.go
@@ -176,7 +176,7 @@
 	core.lastTick = now
 	for _, due := range core.table.Tick(now) {
 		for _, to := range due.To {
-			core.daemon.transport.Send(to, due.Beat)
+			core.daemon.transport.Send(to, due.Heartbeat)
 		}
 	}
 	core.refreshAdmission(now)
@@ -255,7 +255,7 @@
 func (core *core) deliver(now time.Time, from berylspoke.VMID, message berylspoke.Message) {
 	switch message := message.(type) {
 	case berylmember.Heartbeat:
-		if reply := core.table.Hear(now, message); reply != nil {
+		if reply := core.table.HandleHeartbeat(now, message); reply != nil {
 			core.daemon.transport.Send(from, *reply)
 		}
 	case berylgate.Report:
--- a/io/beryledge/callers.go
+++ b/io/beryledge/callers.go
@@ -34,7 +34,7 @@
 	daemon   *Daemon
 	writer   http.ResponseWriter
 	incoming *http.Request
-	info      berylspoke.RequestInfo
+	info     berylspoke.RequestInfo
 	route    *berylspoke.Route
 	// organisation is the one whose share the request is charged to.
 	organisation berylspoke.OrganisationID
--- a/io/beryledge/collect.go
+++ b/io/beryledge/collect.go
@@ -22,7 +22,7 @@
 func collectorsOf(table *berylmember.Table, domain berylspoke.FailureDomain) []berylspoke.VMID {
 	members := membersOf(table, domain)
 	slices.SortFunc(members, func(one, other berylspoke.VMID) int {
-		left, right := table.Member(one).Rumour.Place.Capacity, table.Member(other).Rumour.Place.Capacity
+		left, right := table.Member(one).Rumour.Attributes.Capacity, table.Member(other).Rumour.Attributes.Capacity
 		return cmp.Or(cmp.Compare(right, left), cmp.Compare(one, other))
 	})
 	return members[:min(len(members), collectorsPerDomain)]
--- a/io/beryledge/cpupressure_test.go
+++ b/io/beryledge/cpupressure_test.go
@@ -39,9 +39,9 @@
 	options.Open = true
 	table := berylmember.NewTable(now, berylspoke.VM{ID: "small", FailureDomain: "a"}, 1, options)
 	table.Announce("10.0.0.1:1", 19)
-	table.Hear(now, berylmember.Heartbeat{Self: berylmember.Rumour{
-		Process: berylspoke.Process{VM: "large", Incarnation: 1},
-		Place:   berylmember.Place{FailureDomain: "a", CallAddress: "10.0.0.2:1", Capacity: 80},
+	table.HandleHeartbeat(now, berylmember.Heartbeat{Self: berylmember.Rumour{
+		Process:    berylspoke.Process{VM: "large", Incarnation: 1},
+		Attributes: berylmember.Attributes{FailureDomain: "a", CallAddress: "10.0.0.2:1", Capacity: 80},
 	}})
 	require.Equal(t, []string{"10.0.0.2:1", "10.0.0.2:1", "10.0.0.2:1", "10.0.0.2:1", "10.0.0.1:1"}, newEntries(table).byDomain["a"])
 }
--- a/io/beryledge/entries.go
+++ b/io/beryledge/entries.go
@@ -33,7 +33,7 @@
 		if member.VM.CallAddress == "" {
 			continue
 		}
-		for range addressWeight(member.Rumour.Place.Capacity, smallest) {
+		for range addressWeight(member.Rumour.Attributes.Capacity, smallest) {
 			entries.byDomain[domain] = append(entries.byDomain[domain], member.VM.CallAddress)
 		}
 	}
@@ -57,7 +57,7 @@
 func minCapacity(table *berylmember.Table) uint16 {
 	var smallest uint16
 	for _, vm := range table.Live() {
-		if capacity := table.Member(vm).Rumour.Place.Capacity; capacity > 0 && (smallest == 0 || capacity < smallest) {
+		if capacity := table.Member(vm).Rumour.Attributes.Capacity; capacity > 0 && (smallest == 0 || capacity < smallest) {
 			smallest = capacity
 		}
 	}
--- a/io/beryledge/members.go
+++ b/io/beryledge/members.go
@@ -40,7 +40,7 @@
 func (core *core) livePeers() []berylspoke.VMID {
 	var peers []berylspoke.VMID
 	for _, vm := range core.table.Live() {
-		if vm != core.daemon.settings.VM && core.table.Known(vm) != 0 {
+		if vm != core.daemon.settings.VM && core.table.Incarnation(vm) != 0 {
 			peers = append(peers, vm)
 		}
 	}
--- a/io/beryledge/meters.go
+++ b/io/beryledge/meters.go
@@ -107,7 +107,7 @@
 		dump.Entries[string(domain)] = addresses
 	}
 	daemon.inspectCore(func(now time.Time, core *core) {
-		for _, member := range core.table.All() {
+		for _, member := range core.table.Members() {
 			dump.Members = append(dump.Members, fmt.Sprintf("%s %s", member.VM.ID, member.Rumour.Status))
 		}
 		dump.Feeds["configuration"], dump.Feeds["targets"] = core.feeds[0].AsOf(), core.feeds[1].AsOf()
--- a/io/berylpeer/peer_test.go
+++ b/io/berylpeer/peer_test.go
@@ -28,18 +28,18 @@
 	id := berylticket.CallID{Ticket: berylticket.Ticket{Owner: self, Witness: other, Serial: 9}, Number: 4}
 	return []berylspoke.Message{
 		berylmember.Heartbeat{
-			Self: berylmember.Rumour{Process: self, Counter: 2}, Number: 7, Serving: true, Sync: true,
+			Self: berylmember.Rumour{Process: self, Counter: 2}, ConfigNumber: 7, Serving: true, Sync: true,
 			Rumours: []berylmember.Rumour{{Process: other, Counter: 1, Status: berylmember.Dead, Leaving: true}},
 		},
 		berylconfig.PullRequest{After: 12},
 		berylconfig.PullAnswer{Number: 3, Serving: true, Entries: []berylspoke.Published{{Number: 3, Body: []byte("{}")}}, Snapshot: []byte("s")},
-		berylslot.Ask{
+		berylslot.Demand{
 			From: self, Service: "pens", Sequence: 5, Applied: 4, Waiting: 3,
-			Tags: []berylspoke.Tag{10, 12, 30}, Time: 9, Started: 8,
-			Holds: []berylslot.Hold{{Target: "pen-1", Held: 2, Used: 1, Pace: 27 * time.Millisecond}},
+			Tags: []berylspoke.Tag{10, 12, 30}, VirtualTime: 9, MaxStarted: 8,
+			Holdings: []berylslot.Holding{{Target: "pen-1", Held: 2, Used: 1, TokenInterval: 27 * time.Millisecond}},
 		},
 		berylslot.Lease{
-			From: self, Service: "pens", Sequence: 6, Answers: 5, Contended: true, Threshold: 1 << 62, Time: 40,
+			From: self, Service: "pens", Sequence: 6, Acknowledged: 5, Contended: true, Threshold: 1 << 62, VirtualTime: 40,
 			Grants: []berylslot.Grant{{Target: "pen-1", Slots: 2}},
 		},
 		berylshare.Reports{From: self, Reports: []berylshare.Report{{
@@ -51,7 +51,7 @@
 		berylticket.PermitAnswer{ID: id, Granted: true},
 		berylticket.SettleRequest{ID: id, Token: 77},
 		berylticket.CloseRequest{ID: id, Token: 78},
-		berylticket.SettleAnswer{ID: id, Token: 78, Standing: berylticket.StandsMayHaveRun, ByWitness: true},
+		berylticket.SettleAnswer{ID: id, Token: 78, Status: berylticket.StatusMayHaveRun, ByWitness: true},
 		berylfeed.Pull{Feed: berylfeed.Targets, After: 17},
 		berylfeed.Delta{Feed: berylfeed.Targets, Full: true, After: 17, AsOf: 21, Changes: []berylfeed.Change{{
 			Item:  berylspoke.Item{Key: "pen-1", Value: []byte("{}"), Revision: 20, Deleted: true},
--- a/io/berylpeer/wire.go
+++ b/io/berylpeer/wire.go
@@ -31,7 +31,7 @@
 	return wireRumour{
 		VM: string(rumour.Process.VM), Incarnation: uint64(rumour.Process.Incarnation),
 		Counter: rumour.Counter, Status: uint8(rumour.Status), Leaving: rumour.Leaving,
-		Domain: string(rumour.Place.FailureDomain), CallAddress: rumour.Place.CallAddress, Capacity: rumour.Place.Capacity,
+		Domain: string(rumour.Attributes.FailureDomain), CallAddress: rumour.Attributes.CallAddress, Capacity: rumour.Attributes.Capacity,
 	}
 }
 
@@ -39,7 +39,7 @@
 	return berylmember.Rumour{
 		Process: process(berylspoke.VMID(wire.VM), wire.Incarnation),
 		Counter: wire.Counter, Status: min(berylmember.Status(wire.Status), berylmember.Dead), Leaving: wire.Leaving,
-		Place: berylmember.Place{
+		Attributes: berylmember.Attributes{
 			FailureDomain: berylspoke.FailureDomain(wire.Domain), CallAddress: wire.CallAddress, Capacity: wire.Capacity,
 		},
 	}
@@ -61,7 +61,7 @@
 
 func (wire *wireHeartbeat) message(from berylspoke.VMID) berylspoke.Message {
 	heartbeat := berylmember.Heartbeat{
-		Self: wire.Self.rumour(), Number: berylspoke.PatchNumber(wire.ConfigNumber),
+		Self: wire.Self.rumour(), ConfigNumber: berylspoke.PatchNumber(wire.ConfigNumber),
 		Serving: wire.Serving, Sync: wire.Sync, Digest: wire.Digest,
 	}
 	heartbeat.Self.Process.VM = from
@@ -126,40 +126,40 @@
 	Holdings []wireHolding
 }
 
-func demandToWire(demand berylslot.Ask) *wireDemand {
+func demandToWire(demand berylslot.Demand) *wireDemand {
 	wire := &wireDemand{
 		Incarnation: uint64(demand.From.Incarnation), Service: string(demand.Service),
 		Sequence: demand.Sequence, Applied: demand.Applied, Waiting: demand.Waiting,
-		VirtualTime: int64(demand.Time), MaxStarted: int64(demand.Started - demand.Time),
+		VirtualTime: int64(demand.VirtualTime), MaxStarted: int64(demand.MaxStarted - demand.VirtualTime),
 	}
-	last := demand.Time
+	last := demand.VirtualTime
 	for _, tag := range demand.Tags {
 		wire.Tags = append(wire.Tags, int64(tag-last))
 		last = tag
 	}
-	for _, hold := range demand.Holds {
+	for _, holding := range demand.Holdings {
 		wire.Holdings = append(wire.Holdings, wireHolding{
-			Target: string(hold.Target), Held: hold.Held, Used: hold.Used, TokenIntervalMicros: hold.Pace.Microseconds(),
+			Target: string(holding.Target), Held: holding.Held, Used: holding.Used, TokenIntervalMicros: holding.TokenInterval.Microseconds(),
 		})
 	}
 	return wire
 }
 
 func (wire *wireDemand) message(from berylspoke.VMID) berylspoke.Message {
-	demand := berylslot.Ask{
+	demand := berylslot.Demand{
 		From: process(from, wire.Incarnation), Service: berylspoke.ServiceID(wire.Service),
 		Sequence: wire.Sequence, Applied: wire.Applied, Waiting: max(wire.Waiting, 0),
-		Time: berylspoke.Tag(wire.VirtualTime), Started: berylspoke.Tag(wire.VirtualTime + wire.MaxStarted),
+		VirtualTime: berylspoke.Tag(wire.VirtualTime), MaxStarted: berylspoke.Tag(wire.VirtualTime + wire.MaxStarted),
 	}
-	last := demand.Time
+	last := demand.VirtualTime
 	for _, difference := range wire.Tags {
 		last += berylspoke.Tag(difference)
 		demand.Tags = append(demand.Tags, last)
 	}
-	for _, hold := range wire.Holdings {
-		demand.Holds = append(demand.Holds, berylslot.Hold{
-			Target: berylspoke.TargetID(hold.Target), Held: max(hold.Held, 0), Used: max(hold.Used, 0),
-			Pace: time.Duration(hold.TokenIntervalMicros) * time.Microsecond,
+	for _, holding := range wire.Holdings {
+		demand.Holdings = append(demand.Holdings, berylslot.Holding{
+			Target: berylspoke.TargetID(holding.Target), Held: max(holding.Held, 0), Used: max(holding.Used, 0),
+			TokenInterval: time.Duration(holding.TokenIntervalMicros) * time.Microsecond,
 		})
 	}
 	return demand
@@ -184,8 +184,8 @@
 func leaseToWire(lease berylslot.Lease) *wireLease {
 	wire := &wireLease{
 		Incarnation: uint64(lease.From.Incarnation), Service: string(lease.Service),
-		Sequence: lease.Sequence, Acknowledged: lease.Answers, Contended: lease.Contended,
-		Threshold: int64(lease.Threshold), VirtualTime: int64(lease.Time),
+		Sequence: lease.Sequence, Acknowledged: lease.Acknowledged, Contended: lease.Contended,
+		Threshold: int64(lease.Threshold), VirtualTime: int64(lease.VirtualTime),
 	}
 	for _, grant := range lease.Grants {
 		wire.Grants = append(wire.Grants, wireGrant{Target: string(grant.Target), Slots: grant.Slots})
@@ -196,8 +196,8 @@
 func (wire *wireLease) message(from berylspoke.VMID) berylspoke.Message {
 	lease := berylslot.Lease{
 		From: process(from, wire.Incarnation), Service: berylspoke.ServiceID(wire.Service),
-		Sequence: wire.Sequence, Answers: wire.Acknowledged, Contended: wire.Contended,
-		Threshold: berylspoke.Tag(wire.Threshold), Time: berylspoke.Tag(wire.VirtualTime),
+		Sequence: wire.Sequence, Acknowledged: wire.Acknowledged, Contended: wire.Contended,
+		Threshold: berylspoke.Tag(wire.Threshold), VirtualTime: berylspoke.Tag(wire.VirtualTime),
 	}
 	for _, grant := range wire.Grants {
 		lease.Grants = append(lease.Grants, berylslot.Grant{Target: berylspoke.TargetID(grant.Target), Slots: max(grant.Slots, 0)})
@@ -359,7 +359,7 @@
 func (wire *wireSettleAnswer) message(berylspoke.VMID) berylspoke.Message {
 	return berylticket.SettleAnswer{
 		ID: wire.ID.id(), Token: wire.Token,
-		Standing: min(berylticket.Standing(wire.Status), berylticket.StandsMayHaveRun), ByWitness: wire.ByWitness,
+		Status: min(berylticket.Status(wire.Status), berylticket.StatusMayHaveRun), ByWitness: wire.ByWitness,
 	}
 }
 
@@ -368,7 +368,7 @@
 	switch message := message.(type) {
 	case berylmember.Heartbeat:
 		wire := &wireHeartbeat{
-			Self: rumourToWire(message.Self), ConfigNumber: uint64(message.Number),
+			Self: rumourToWire(message.Self), ConfigNumber: uint64(message.ConfigNumber),
 			Serving: message.Serving, Sync: message.Sync, Digest: message.Digest,
 		}
 		for _, rumour := range message.Rumours {
@@ -391,7 +391,7 @@
 		return daemonReportToWire(message), kindDaemonReport
 	case berylgate.Usage:
 		return usageToWire(message), kindUsage
-	case berylslot.Ask:
+	case berylslot.Demand:
 		return demandToWire(message), kindDemand
 	case berylslot.Lease:
 		return leaseToWire(message), kindLease
@@ -410,7 +410,7 @@
 	case berylticket.SettleAnswer:
 		return &wireSettleAnswer{
 			ID: callToWire(message.ID), Token: message.Token,
-			Status: uint8(message.Standing), ByWitness: message.ByWitness,
+			Status: uint8(message.Status), ByWitness: message.ByWitness,
 		}, kindSettleAnswer
 	}
 	return nil, 0
--- a/io/berylserve/actor.go
+++ b/io/berylserve/actor.go
@@ -55,7 +55,7 @@
 	}
 	settle struct {
 		id    berylticket.CallID
-		reply chan berylticket.Standing
+		reply chan berylticket.Status
 	}
 	resolve struct {
 		organisation berylspoke.OrganisationID
@@ -97,7 +97,7 @@
 	daemon         *Daemon
 	node           *berylnode.Node
 	decisions      map[berylspoke.RequestID]chan decision
-	pendingSettles map[uint64]chan berylticket.Standing
+	pendingSettles map[uint64]chan berylticket.Status
 	vms            []berylspoke.VM
 	lastToken      uint64
 	flushScheduled bool
--- a/io/berylserve/calls.go
+++ b/io/berylserve/calls.go
@@ -175,7 +175,7 @@
 		daemon.writeOwnOutcome(ctx, writer, id)
 		return
 	}
-	reply := make(chan berylticket.Standing, 1)
+	reply := make(chan berylticket.Status, 1)
 	daemon.send(settle{id, reply})
 	select {
 	case <-ctx.Done():
@@ -185,25 +185,25 @@
 }
 
 // writeStatus writes the status of an id that the owner or the witness reported.
-func (daemon *Daemon) writeStatus(writer http.ResponseWriter, id berylticket.CallID, callStatus berylticket.Standing) {
+func (daemon *Daemon) writeStatus(writer http.ResponseWriter, id berylticket.CallID, callStatus berylticket.Status) {
 	owner := daemon.members.Load().callAddresses[id.Ticket.Owner.VM]
 	writer.Header().Set(verdictHeader, callStatus.Verdict().String())
 	switch callStatus {
-	case berylticket.StandsNotRun:
+	case berylticket.StatusNotRun:
 		daemon.refuse(writer, 0, &berylspoke.Refusal{
 			Verdict: berylspoke.NotRun, Reason: berylspoke.ReasonClosed,
 			Cause: errors.New("the id is closed for good; use another one"),
 		})
-	case berylticket.StandsRan, berylticket.Pending:
+	case berylticket.StatusRan, berylticket.StatusPending:
 		writer.Header().Set("Content-Type", "application/json")
 		status := http.StatusOK
-		if callStatus == berylticket.Pending {
+		if callStatus == berylticket.StatusPending {
 			status = http.StatusAccepted
 			writer.Header().Set("Retry-After", "1")
 		}
 		writer.WriteHeader(status)
 		_ = json.NewEncoder(writer).Encode(wireOutcome{
-			Verdict: callStatus.Verdict().String(), Pending: callStatus == berylticket.Pending, Owner: owner,
+			Verdict: callStatus.Verdict().String(), Pending: callStatus == berylticket.StatusPending, Owner: owner,
 		})
 	default:
 		daemon.refuse(writer, 0, &berylspoke.Refusal{
--- a/io/berylserve/daemon.go
+++ b/io/berylserve/daemon.go
@@ -116,7 +116,7 @@
 		return &nodeActor{
 			daemon: daemon, node: node,
 			decisions:      make(map[berylspoke.RequestID]chan decision),
-			pendingSettles: make(map[uint64]chan berylticket.Standing),
+			pendingSettles: make(map[uint64]chan berylticket.Status),
 		}
 	}))
 }
--- a/io/berylsettings/settings.go
+++ b/io/berylsettings/settings.go
@@ -212,7 +212,7 @@
 	options.Queue.CatchUp = berylspoke.Weight(1).Normalise(settings.Fairness.CatchUpTokens)
 	options.Queue.Lead = berylspoke.Weight(1).Normalise(settings.Fairness.LeadTokens)
 	options.Keeper.Slack = berylspoke.Weight(1).Normalise(settings.Fairness.SlackTokens)
-	options.Keeper.Limiter.Pace = Millis(settings.Targets.TokenIntervalMillis)
+	options.Keeper.Limiter.TokenInterval = Millis(settings.Targets.TokenIntervalMillis)
 	options.Quantum = settings.Fairness.QuantumTokens
 	options.ReportEvery = Millis(settings.Fairness.ReportIntervalMillis)
 	options.CrossAfter = Millis(settings.Regions.CrossAfterMillis)
