--- a/core/berylgate/allowance.go
+++ b/core/berylgate/allowance.go
@@ -73,7 +73,7 @@
 // second, and how much it may get: its max-min level, and the cap beyond which nothing
 // more is sent for it.
 type Share struct {
-	Asked, Given, Level, Cap float64
+	Demand, Served, Level, Cap float64
 }
 
 // TokensOf returns the weighted tokens that a request counts in its organisation's usage.
@@ -123,8 +123,8 @@
 func (gate *Gate) share(now time.Time, request *Request) Share {
 	organisation := hashOf(string(request.Organisation))
 	return Share{
-		Asked: gate.shares.usage(organisation).demand.now(now) + gate.shares.others[organisation].demand,
-		Given: gate.served(now, organisation), Level: gate.shares.level, Cap: gate.shares.cap,
+		Demand: gate.shares.usage(organisation).demand.now(now) + gate.shares.others[organisation].demand,
+		Served: gate.served(now, organisation), Level: gate.shares.level, Cap: gate.shares.cap,
 	}
 }
 
--- a/core/berylgate/choose.go
+++ b/core/berylgate/choose.go
@@ -53,21 +53,21 @@
 	Connections int
 	// The work in milliseconds estimated to be queued at the target, and the target's
 	// slowdown: the actual time per millisecond of the model.
-	Queue, Pace float64
+	QueueMillis, Slowdown float64
 	// The number of tokens in the prompt's shared prefix segments, and how many of them
 	// are assumed to be in the target's KV cache.
-	Shared, Kept berylspoke.Tokens
+	Shared, Cached berylspoke.Tokens
 	// The target from which the engine fetches the KV cache of shared segments that it
 	// lacks, nil if none is assumed to have them.
-	Source *berylspoke.Target
+	CacheSource *berylspoke.Target
 	// Running and Tokens are the requests estimated to be at the target and the KV cache
 	// tokens that they use.
 	Running int
 	Tokens  berylspoke.Tokens
 	// The longest expected time to first byte at which the request would be sent, and how
 	// many times its max-min level the organisation was served.
-	Limit time.Duration
-	Over  float64
+	Limit   time.Duration
+	Overuse float64
 	// Share is the usage that the limit was derived from.
 	Share Share
 }
@@ -82,7 +82,7 @@
 	if !retry && request.tried == nil {
 		gate.countDemand(now, pool, request)
 	}
-	if retry && request.sends >= request.Attempts {
+	if retry && request.sends >= request.MaxAttempts {
 		return refused(berylspoke.ReasonTargetFailed, defaultRetryAfter)
 	}
 	allowance := gate.allow(now, pool, request, retry)
@@ -102,7 +102,7 @@
 	}
 	request.retryReserved = false
 	if source := gate.cacheSource(now, pool, best.target, prompt); source != nil {
-		decision.Source = &source.Target
+		decision.CacheSource = &source.Target
 	}
 	gate.startAttempt(now, request, best, prompt)
 	if pool.service.Engine != nil && request.sends == 1 {
@@ -112,11 +112,11 @@
 	return decision
 }
 
-// Reserve reports whether a request whose target is silent could be sent to another
+// ReserveRetry reports whether a request whose target is silent could be sent to another
 // target if its attempt were ended, and reserves the retry for it.
-func (gate *Gate) Reserve(now time.Time, request *Request) bool {
+func (gate *Gate) ReserveRetry(now time.Time, request *Request) bool {
 	pool, current := gate.pools[request.Service], request.current
-	if pool == nil || current == nil || current.answerStarted || request.sends >= request.Attempts {
+	if pool == nil || current == nil || current.answerStarted || request.sends >= request.MaxAttempts {
 		return false
 	}
 	another := slices.ContainsFunc(pool.targets, func(target *target) bool {
@@ -134,10 +134,10 @@
 	target := best.target
 	decision := Decision{
 		Target: target.Target, Connections: gate.connections(target),
-		Expected: duration(best.expectedMillis), Queue: target.backlogMillis, Pace: target.slowdown,
-		Shared: prompt.total, Kept: best.cached,
+		Expected: duration(best.expectedMillis), QueueMillis: target.backlogMillis, Slowdown: target.slowdown,
+		Shared: prompt.total, Cached: best.cached,
 		Running: target.occupied(), Tokens: target.kvTokens + target.others.kvTokens,
-		Over: allowance.overuse,
+		Overuse: allowance.overuse,
 	}
 	if !math.IsInf(allowance.limitMillis, 1) {
 		decision.Limit = duration(allowance.limitMillis)
--- a/core/berylgate/cold.go
+++ b/core/berylgate/cold.go
@@ -104,7 +104,7 @@
 	if !now.Before(target.cold.until) {
 		return true
 	}
-	return target.cold.budget != nil && target.cold.budget.Left(now) >= 1
+	return target.cold.budget != nil && target.cold.budget.Remaining(now) >= 1
 }
 
 // chargeCold charges a sent request to the budget of a cold target.
--- a/core/berylgate/cold_test.go
+++ b/core/berylgate/cold_test.go
@@ -43,7 +43,7 @@
 			request := newRequest(now, "clergy")
 			if gate.Submit(now, request).Refusal == nil {
 				sent = append(sent, now)
-				gate.Ended(now, request, Succeeded)
+				gate.AttemptEnded(now, request, Succeeded)
 			}
 		}
 		for len(sent) > 0 && now.Sub(sent[0]) >= time.Second {
@@ -80,7 +80,7 @@
 	for _, gate := range gates {
 		request := newRequest(now, "clergy")
 		require.Nil(t, gate.Submit(now, request).Refusal)
-		gate.Ended(now, request, Unreached)
+		gate.AttemptEnded(now, request, Unreachable)
 	}
 	now = now.Add(time.Second)
 	require.LessOrEqual(t, sendAll(gates, now, 2*time.Second), 14)
--- a/core/berylgate/gate.go
+++ b/core/berylgate/gate.go
@@ -37,10 +37,10 @@
 	Objective time.Duration
 	Deadline  time.Time
 	// The number of targets that the request may be sent to.
-	Attempts      int
+	MaxAttempts   int
 	Input, Output berylspoke.Tokens
 	// The segments of the prompt in order; the last is the request's own.
-	Parts []berylspoke.PromptSegment
+	Segments []berylspoke.PromptSegment
 	// Regions are the regions whose targets may serve the request.
 	Regions berylspoke.Regions
 	// sends counts the targets that may have received the request; tried holds those that
@@ -132,7 +132,7 @@
 	}
 	gate.maxDaemons = live
 	for _, pool := range gate.pools {
-		pool.budget = gate.newBudget(now, pool.budget.Left(now))
+		pool.budget = gate.newBudget(now, pool.budget.Remaining(now))
 	}
 }
 
@@ -230,25 +230,25 @@
 	}
 }
 
-// Rejected counts the tokens, by organisation, of requests that this daemon rejected
+// CountRejected counts the tokens, by organisation, of requests that this daemon rejected
 // because the processor of its VM is overloaded.
-func (gate *Gate) Rejected(now time.Time, rejected map[berylspoke.OrganisationID]berylspoke.Tokens) {
+func (gate *Gate) CountRejected(now time.Time, rejected map[berylspoke.OrganisationID]berylspoke.Tokens) {
 	for organisation, tokens := range rejected {
 		elsewhere := gate.shares.others[hashOf(string(organisation))].demand
 		gate.shares.usageOf(organisation).addRejected(now, tokens, elsewhere)
 	}
 }
 
-// RejectedOverCap counts the tokens, by organisation, of requests that this daemon
+// CountRejectedOverCap counts the tokens, by organisation, of requests that this daemon
 // rejected because their organisation has no allowance.
-func (gate *Gate) RejectedOverCap(now time.Time, rejected map[berylspoke.OrganisationID]berylspoke.Tokens) {
+func (gate *Gate) CountRejectedOverCap(now time.Time, rejected map[berylspoke.OrganisationID]berylspoke.Tokens) {
 	for organisation, tokens := range rejected {
 		gate.shares.usageOf(organisation).addDemand(now, tokens)
 	}
 }
 
-// Sampled reports whether the fleet is so large that reports need not be frequent.
-func (gate *Gate) Sampled() bool { return gate.largeFleet() }
+// LargeFleet reports whether the fleet is so large that reports need not be frequent.
+func (gate *Gate) LargeFleet() bool { return gate.largeFleet() }
 
 // connections returns how many connections this daemon may hold to a target. An equal
 // part of the declared bound is always its own. All callers of a busy organisation may
@@ -278,9 +278,9 @@
 	gate.sumOthers(now)
 }
 
-// TimedWay updates the network latency of a target with the time that a connection took
-// to open.
-func (gate *Gate) TimedWay(id berylspoke.TargetID, taken time.Duration) {
+// ObserveConnectTime updates the network latency of a target with the time that a
+// connection took to open.
+func (gate *Gate) ObserveConnectTime(id berylspoke.TargetID, taken time.Duration) {
 	const weight = 0.2
 	if target := gate.targets[id]; target != nil {
 		target.latencyMillis += weight * (millis(taken) - target.latencyMillis)
@@ -318,9 +318,9 @@
 	target.recordCached(now, prompt.shared)
 }
 
-// Began records the first byte of an answer and the load that the target reported with
-// it, nil if none.
-func (gate *Gate) Began(now time.Time, request *Request, reported *berylspoke.EngineLoad) {
+// AnswerStarted records the first byte of an answer and the load that the target reported
+// with it, nil if none.
+func (gate *Gate) AnswerStarted(now time.Time, request *Request, reported *berylspoke.EngineLoad) {
 	attempt := request.current
 	if attempt == nil || attempt.answerStarted {
 		return
--- a/core/berylgate/gate_test.go
+++ b/core/berylgate/gate_test.go
@@ -54,7 +54,7 @@
 	}
 	return &Request{
 		Service: drafts, Organisation: berylspoke.OrganisationID(organisation), Kind: berylspoke.Streaming,
-		Arrived: now, Objective: 800 * time.Millisecond, Attempts: 2, Input: input, Output: 100, Parts: segments,
+		Arrived: now, Objective: 800 * time.Millisecond, MaxAttempts: 2, Input: input, Output: 100, Segments: segments,
 	}
 }
 
@@ -87,7 +87,7 @@
 				if sends > 0 {
 					retries = append(retries, now)
 				}
-				gates[i].Ended(now, request, Broken)
+				gates[i].AttemptEnded(now, request, Broken)
 			}
 			since := now.Add(-window)
 			if most := 0.2*float64(countSince(requests, since)) + 56; float64(countSince(retries, since)) > most {
@@ -118,7 +118,7 @@
 		require.Nil(t, decision.Refusal)
 		require.False(t, seen[decision.Target.ID])
 		seen[decision.Target.ID] = true
-		gate.Ended(now, request, Broken)
+		gate.AttemptEnded(now, request, Broken)
 	}
 	require.NotNil(t, gate.Submit(now, request).Refusal)
 }
@@ -154,7 +154,7 @@
 	for _, shared := range []berylspoke.Tokens{200, 600, 5000} {
 		seen[shared] = make(map[berylspoke.FailureDomain]bool)
 		for prefix := range uint64(40) {
-			home := gate.prompt(gate.pools[drafts], &Request{Parts: []berylspoke.PromptSegment{{ID: prefix, Tokens: shared}, {}}}).home
+			home := gate.prompt(gate.pools[drafts], &Request{Segments: []berylspoke.PromptSegment{{ID: prefix, Tokens: shared}, {}}}).home
 			seen[shared][home.FailureDomain] = true
 		}
 	}
@@ -162,7 +162,7 @@
 	require.Equal(t, map[berylspoke.FailureDomain]bool{"a": true, "b": true}, seen[600])
 	require.Len(t, seen[5000], 3)
 	gate.SetTargets(now, targets[1:2])
-	home := gate.prompt(gate.pools[drafts], &Request{Parts: []berylspoke.PromptSegment{{ID: 1, Tokens: 200}, {}}}).home
+	home := gate.prompt(gate.pools[drafts], &Request{Segments: []berylspoke.PromptSegment{{ID: 1, Tokens: 200}, {}}}).home
 	require.EqualValues(t, "t-1", home.ID, "without a target in the own domain the next one is taken")
 }
 
@@ -177,7 +177,7 @@
 	now = now.Add(1500 * time.Millisecond)
 	gate.Tick(now)
 	require.NotEqual(t, silent, gate.Submit(now, newRequest(now, "o", segments...)).Target.ID)
-	gate.Began(now, request, nil)
+	gate.AnswerStarted(now, request, nil)
 	gate.Tick(now)
 	require.True(t, gate.targets[silent].usable(now))
 }
@@ -189,8 +189,8 @@
 	now := time.Unix(0, 0)
 	gate := newGate(now, 1, 1, false)
 	target := gate.sorted[0]
-	gate.Heard(now, "vm-2", Report{Incarnation: 2, Targets: []TargetReport{{Target: target.hash, Work: 100}}})
-	gate.Heard(now, "vm-2", Report{Incarnation: 2, Targets: []TargetReport{{Target: target.hash, Work: 90_000}}})
+	gate.ReceiveReport(now, "vm-2", Report{Incarnation: 2, Targets: []TargetReport{{Target: target.hash, WorkMillis: 100}}})
+	gate.ReceiveReport(now, "vm-2", Report{Incarnation: 2, Targets: []TargetReport{{Target: target.hash, WorkMillis: 90_000}}})
 	now = now.Add(time.Millisecond)
 	target.drain(now)
 	require.Zero(t, target.backlogMillis)
@@ -203,7 +203,7 @@
 func TestLongPromptsAreReportedAtOnce(t *testing.T) {
 	now := time.Unix(0, 0)
 	gate, peer := newGate(now, 1, 3, false), newGate(now, 2, 3, false)
-	sendReport := func() { peer.Heard(now, "vm-1", gate.Report(now)) }
+	sendReport := func() { peer.ReceiveReport(now, "vm-1", gate.Report(now)) }
 	prefix := berylspoke.PromptSegment{ID: 7, Tokens: 500}
 	shortRequest := func() *Request { return newRequest(now, "o", prefix, berylspoke.PromptSegment{ID: 1, Tokens: 600}) }
 	home := gate.Submit(now, shortRequest()).Target.ID
@@ -226,9 +226,9 @@
 	for segment := range uint64(6) {
 		gate.Submit(now, newRequest(now, "o", berylspoke.PromptSegment{ID: segment, Tokens: 6_000}))
 	}
-	peer.Heard(now, "vm-1", gate.Report(now))
+	peer.ReceiveReport(now, "vm-1", gate.Report(now))
 	require.InDelta(t, gate.sorted[0].backlogMillis, peer.sorted[0].backlogMillis, 1)
-	peer.Heard(now, "vm-1", gate.Report(now))
+	peer.ReceiveReport(now, "vm-1", gate.Report(now))
 	require.InDelta(t, gate.sorted[0].backlogMillis, peer.sorted[0].backlogMillis, 1, "the same work counts once")
 }
 
@@ -245,12 +245,12 @@
 	now = now.Add(time.Millisecond)
 	request := newRequest(now, "o", berylspoke.PromptSegment{ID: 1, Tokens: 6000})
 	require.Nil(t, gate.Submit(now, request).Refusal)
-	gate.Began(now, request, &berylspoke.EngineLoad{Running: 7, Waiting: 2, Slots: 12})
+	gate.AnswerStarted(now, request, &berylspoke.EngineLoad{Running: 7, Waiting: 2, Slots: 12})
 	now = now.Add(time.Second)
 	full := gate.Report(now)
 	require.Len(t, full.Loads, 1)
 	require.Empty(t, full.Organisations)
-	peer.Heard(now, "vm-1", full)
+	peer.ReceiveReport(now, "vm-1", full)
 	now = now.Add(time.Second)
 	require.Empty(t, gate.Report(now).Loads)
 	require.Empty(t, peer.Report(now).Loads, "loads that peers reported are not forwarded")
@@ -263,24 +263,24 @@
 	gate := newGate(now, 1, 2, false)
 	submit := func(attempts int) *Request {
 		request := newRequest(now, "clergy")
-		request.Attempts = attempts
+		request.MaxAttempts = attempts
 		require.Nil(t, gate.Submit(now, request).Refusal)
 		return request
 	}
 	budget := gate.pools[drafts].budget
-	budget.Earn(1 - budget.Left(now))
-	require.False(t, gate.Reserve(now, submit(1)), "no attempt remains")
+	budget.Earn(1 - budget.Remaining(now))
+	require.False(t, gate.ReserveRetry(now, submit(1)), "no attempt remains")
 	request := submit(2)
-	require.True(t, gate.Reserve(now, request))
-	require.True(t, gate.Reserve(now, request), "the retry is reserved for this request")
-	require.False(t, gate.Reserve(now, submit(2)), "the budget has no retry for another request")
-	gate.Ended(now, request, Abandoned)
+	require.True(t, gate.ReserveRetry(now, request))
+	require.True(t, gate.ReserveRetry(now, request), "the retry is reserved for this request")
+	require.False(t, gate.ReserveRetry(now, submit(2)), "the budget has no retry for another request")
+	gate.AttemptEnded(now, request, Abandoned)
 	require.Nil(t, gate.Submit(now, request).Refusal, "it uses the reserved retry")
-	gate.Began(now, request, nil)
-	require.False(t, gate.Reserve(now, request), "its answer has started")
+	gate.AnswerStarted(now, request, nil)
+	require.False(t, gate.ReserveRetry(now, request), "its answer has started")
 	gate = newGate(now, 1, 1, false)
 	gate.pools[drafts].budget.Earn(2)
-	require.False(t, gate.Reserve(now, submit(2)), "there is no other target")
+	require.False(t, gate.ReserveRetry(now, submit(2)), "there is no other target")
 }
 
 // Guards against sending requests, or fetching the KV cache of their prompts, outside the
@@ -302,9 +302,9 @@
 		decision := gate.Submit(now, request)
 		require.Nil(t, decision.Refusal)
 		require.EqualValues(t, "t-2", decision.Target.ID)
-		require.Nil(t, decision.Source)
-		require.False(t, gate.Reserve(now, request), "no other target may serve it")
-		gate.Ended(now, request, Broken)
+		require.Nil(t, decision.CacheSource)
+		require.False(t, gate.ReserveRetry(now, request), "no other target may serve it")
+		gate.AttemptEnded(now, request, Broken)
 		now = now.Add(10 * time.Second)
 		request.Deadline = now.Add(time.Minute)
 		require.NotNil(t, gate.Submit(now, request).Refusal)
--- a/core/berylgate/outcome.go
+++ b/core/berylgate/outcome.go
@@ -13,17 +13,17 @@
 const (
 	// Succeeded means that the whole answer was received.
 	Succeeded Outcome = iota
-	// Turned means that the target rejected the request without running it.
-	Turned
-	// Unreached means that no connection was made, so nothing was sent.
-	Unreached
-	// Crowded means that all connections to the target were in use, or that the request
-	// was no longer wanted once one was available. Nothing was sent.
-	Crowded
+	// Rejected means that the target rejected the request without running it.
+	Rejected
+	// Unreachable means that no connection was made, so nothing was sent.
+	Unreachable
+	// NoConnection means that all connections to the target were in use, or that the
+	// request was no longer wanted once one was available. Nothing was sent.
+	NoConnection
 	// Broken means that the answer was truncated or malformed, or never came.
 	Broken
-	// Erred means that a whole answer reported a failure of the target.
-	Erred
+	// TargetFailed means that a whole answer reported a failure of the target.
+	TargetFailed
 	// Abandoned means that the caller or its time limit ended the attempt.
 	Abandoned
 	// Outcomes is the number of outcomes.
@@ -35,8 +35,8 @@
 	return [...]string{"succeeded", "turned", "unreached", "crowded", "broken", "erred", "abandoned"}[outcome]
 }
 
-// Ended records the end of a request's current attempt.
-func (gate *Gate) Ended(now time.Time, request *Request, outcome Outcome) {
+// AttemptEnded records the end of a request's current attempt.
+func (gate *Gate) AttemptEnded(now time.Time, request *Request, outcome Outcome) {
 	attempt := request.current
 	if attempt == nil {
 		return
@@ -50,7 +50,7 @@
 		target.kvTokens -= attempt.kvTokens
 	}
 	gate.applyOutcome(now, attempt, outcome)
-	if outcome == Unreached || outcome == Crowded || outcome == Turned {
+	if outcome == Unreachable || outcome == NoConnection || outcome == Rejected {
 		gate.undoSend(now, attempt, outcome)
 	}
 }
@@ -66,15 +66,15 @@
 			target.meanMillis += weight * (millis(now.Sub(attempt.sentAt)) - target.latencyMillis - target.meanMillis)
 			target.meanMillis = max(target.meanMillis, 1)
 		}
-	case Unreached:
+	case Unreachable:
 		target.recordFailure(now)
 		gate.maybeRestarted(now, target)
 	case Broken:
 		target.recordFailure(now)
-	case Erred:
+	case TargetFailed:
 		target.lastAnswer = now
 		target.errorRate += errorWeight * (1 - target.errorRate)
-	case Turned:
+	case Rejected:
 		target.lastAnswer = now
 	}
 }
@@ -85,7 +85,7 @@
 func (gate *Gate) undoSend(now time.Time, attempt *attempt, outcome Outcome) {
 	const stepMillis = 60.0
 	target := attempt.target
-	if outcome != Turned {
+	if outcome != Rejected {
 		attempt.request.sends--
 	}
 	if target.engine == nil {
@@ -94,7 +94,7 @@
 	gate.shares.usage(hashOf(string(attempt.request.Organisation))).served.add(now, -TokensOf(attempt.request))
 	target.drain(now)
 	target.backlogMillis = max(0, target.backlogMillis-attempt.addedMillis)
-	if outcome == Turned {
+	if outcome == Rejected {
 		target.backlogMillis += stepMillis
 	}
 }
--- a/core/berylgate/parts.go
+++ b/core/berylgate/parts.go
@@ -41,7 +41,7 @@
 }
 
 func (gate *Gate) prompt(pool *pool, request *Request) prompt {
-	shared := request.Parts[:max(len(request.Parts)-1, 0)]
+	shared := request.Segments[:max(len(request.Segments)-1, 0)]
 	prompt := prompt{shared: shared, regions: request.Regions}
 	for _, segment := range shared {
 		prompt.total += segment.Tokens
--- a/core/berylgate/parts_test.go
+++ b/core/berylgate/parts_test.go
@@ -33,7 +33,7 @@
 	now := time.Unix(0, 0)
 	gate := newSpreadGate(now)
 	segments := []berylspoke.PromptSegment{{ID: 7, Tokens: 5000}, {ID: 8, Tokens: 3000}}
-	home := gate.prompt(gate.pools[drafts], &Request{Parts: segments}).home
+	home := gate.prompt(gate.pools[drafts], &Request{Segments: segments}).home
 	sent := make(map[berylspoke.TargetID]int)
 	for range 60 {
 		now = now.Add(2 * time.Millisecond)
@@ -43,10 +43,10 @@
 			continue
 		}
 		if sent[decision.Target.ID]++; decision.Target.ID != home.ID && sent[decision.Target.ID] == 1 {
-			require.NotNil(t, decision.Source)
-			require.NotEqual(t, decision.Target.ID, decision.Source.ID)
+			require.NotNil(t, decision.CacheSource)
+			require.NotEqual(t, decision.Target.ID, decision.CacheSource.ID)
 		} else {
-			require.Nil(t, decision.Source, "cached segments are not fetched")
+			require.Nil(t, decision.CacheSource, "cached segments are not fetched")
 		}
 	}
 	require.Greater(t, len(sent), 1, "all requests went to the home")
@@ -59,7 +59,7 @@
 	now := time.Unix(0, 0)
 	gate := newSpreadGate(now)
 	pool := gate.pools[drafts]
-	prompt := gate.prompt(pool, &Request{Parts: []berylspoke.PromptSegment{{ID: 7, Tokens: 5000}, {ID: 8, Tokens: 3000}}})
+	prompt := gate.prompt(pool, &Request{Segments: []berylspoke.PromptSegment{{ID: 7, Tokens: 5000}, {ID: 8, Tokens: 3000}}})
 	prompt.homes = [scopeCount]*target{fleetScope: gate.targets["t-4"]}
 	to := gate.targets["t-2"]
 	require.EqualValues(t, "t-4", gate.cacheSource(now, pool, to, prompt).ID, "the home, if no target is known to have them")
@@ -86,7 +86,7 @@
 	gate := newSpreadGate(now)
 	pool := gate.pools[drafts]
 	from := func(source string, to berylspoke.TargetID, tokens berylspoke.Tokens) *target {
-		prompt := gate.prompt(pool, &Request{Parts: []berylspoke.PromptSegment{{ID: 7, Tokens: tokens}, {ID: 8, Tokens: 3000}}})
+		prompt := gate.prompt(pool, &Request{Segments: []berylspoke.PromptSegment{{ID: 7, Tokens: tokens}, {ID: 8, Tokens: 3000}}})
 		prompt.homes = [scopeCount]*target{fleetScope: gate.targets[berylspoke.TargetID(source)]}
 		return gate.cacheSource(now, pool, gate.targets[to], prompt)
 	}
@@ -105,7 +105,7 @@
 	pool := gate.pools[drafts]
 	differ := 0
 	for prefix := range uint64(40) {
-		prompt := gate.prompt(pool, &Request{Parts: []berylspoke.PromptSegment{{ID: prefix, Tokens: 200}, {ID: 1 << 40, Tokens: 600}}})
+		prompt := gate.prompt(pool, &Request{Segments: []berylspoke.PromptSegment{{ID: prefix, Tokens: 200}, {ID: 1 << 40, Tokens: 600}}})
 		require.Equal(t, prompt.homes[domainScope], prompt.home)
 		source := gate.cacheSource(now, pool, prompt.home, prompt)
 		if wider := prompt.homes[regionScope]; wider != prompt.home {
--- a/core/berylgate/report.go
+++ b/core/berylgate/report.go
@@ -48,13 +48,13 @@
 	Target uint32
 	// All prefill work in milliseconds ever sent there, so that the next report makes up
 	// for a lost one.
-	Work uint64
+	WorkMillis uint64
 	// Running and Tokens are the sender's requests there and the KV cache tokens that
 	// they use.
 	Running int
 	Tokens  berylspoke.Tokens
 	// The work in milliseconds of the requests there whose answers have not started.
-	Pending uint32
+	PendingMillis uint32
 }
 
 // LoadReport is the load that a target reported with an answer, and the age of that
@@ -67,14 +67,14 @@
 
 // OrganisationReport is the usage of one organisation in tokens per second.
 type OrganisationReport struct {
-	Organisation uint32
-	Asked, Given uint32
+	Organisation   uint32
+	Demand, Served uint32
 	// Whether a CPU-starved VM rejected callers of the organisation.
-	Short bool
+	CPULimited bool
 }
 
 func (report OrganisationReport) total() total {
-	return total{float64(report.Asked), float64(report.Given), report.Short}
+	return total{float64(report.Demand), float64(report.Served), report.CPULimited}
 }
 
 // PeerMessage implements berylspoke.Message.
@@ -129,27 +129,27 @@
 	for _, target := range gate.sorted {
 		if target.sentMillis > 0 || target.running > 0 {
 			reports = append(reports, TargetReport{
-				Target: target.hash, Work: uint64(target.sentMillis), Running: target.running, Tokens: target.kvTokens, Pending: uint32(target.pendingMillis),
+				Target: target.hash, WorkMillis: uint64(target.sentMillis), Running: target.running, Tokens: target.kvTokens, PendingMillis: uint32(target.pendingMillis),
 			})
 		}
 	}
 	return reports
 }
 
-// Heard applies a peer's report. The work that the peer sent since its previous report is
-// added to the queues of the targets. For a peer without a previous report it is the work
-// whose answers have not started: after a restart of the whole fleet all first reports
-// describe a flood of requests, and daemons that ignored it as old work sent theirs on
-// top of it.
-func (gate *Gate) Heard(now time.Time, from berylspoke.VMID, report Report) {
+// ReceiveReport applies a peer's report. The work that the peer sent since its previous
+// report is added to the queues of the targets. For a peer without a previous report it
+// is the work whose answers have not started: after a restart of the whole fleet all
+// first reports describe a flood of requests, and daemons that ignored it as old work
+// sent theirs on top of it.
+func (gate *Gate) ReceiveReport(now time.Time, from berylspoke.VMID, report Report) {
 	sender := gate.peer(from, report.Incarnation)
 	for _, item := range report.Targets {
 		target := gate.byHash[item.Target]
-		sentMillis := float64(item.Pending)
+		sentMillis := float64(item.PendingMillis)
 		if before, seen := sender.workMillis[item.Target]; seen {
-			sentMillis = float64(item.Work) - float64(before)
+			sentMillis = float64(item.WorkMillis) - float64(before)
 		}
-		sender.workMillis[item.Target] = item.Work
+		sender.workMillis[item.Target] = item.WorkMillis
 		if target != nil && sentMillis > 0 {
 			target.drain(now)
 			target.backlogMillis += sentMillis
@@ -184,11 +184,11 @@
 
 // largeFleet reports whether the fleet is so large that a daemon receives reports of only
 // some of the others.
-func (gate *Gate) largeFleet() bool { return gate.live-1 > FullMesh }
+func (gate *Gate) largeFleet() bool { return gate.live-1 > MaxFullMeshPeers }
 
-// FullMesh is the number of peers up to which a daemon sends its reports to all of them;
-// in larger fleets it sends them to its links.
-const FullMesh = 12
+// MaxFullMeshPeers is the number of peers up to which a daemon sends its reports to all
+// of them; in larger fleets it sends them to its links.
+const MaxFullMeshPeers = 12
 
 // sumOthers sums up the requests of the other daemons at each target.
 func (gate *Gate) sumOthers(now time.Time) {
@@ -204,7 +204,7 @@
 			if target := gate.byHash[item.Target]; target != nil {
 				target.others.running += item.Running
 				target.others.kvTokens += item.Tokens
-				target.others.pendingMillis += float64(item.Pending)
+				target.others.pendingMillis += float64(item.PendingMillis)
 			}
 		}
 	}
--- a/core/berylgate/usage.go
+++ b/core/berylgate/usage.go
@@ -44,8 +44,8 @@
 	Extent        Extent
 	Domain        berylspoke.FailureDomain
 	Organisations []OrganisationReport
-	// Rest is the demand of all other organisations together, in tokens per second.
-	Rest uint32
+	// RestDemand is the demand of all other organisations together, in tokens per second.
+	RestDemand uint32
 }
 
 // PeerMessage implements berylspoke.Message.
@@ -168,27 +168,27 @@
 	}
 	for organisation, sum := range organisations {
 		if sum.demand < minDemand {
-			usage.Rest += uint32(sum.demand)
+			usage.RestDemand += uint32(sum.demand)
 			continue
 		}
 		usage.Organisations = append(usage.Organisations, OrganisationReport{
-			Organisation: organisation, Asked: uint32(sum.demand), Given: uint32(sum.served), Short: sum.cpuLimited,
+			Organisation: organisation, Demand: uint32(sum.demand), Served: uint32(sum.served), CPULimited: sum.cpuLimited,
 		})
 	}
 	slices.SortFunc(usage.Organisations, func(one, other OrganisationReport) int {
-		return cmp.Or(cmp.Compare(other.Asked, one.Asked), cmp.Compare(one.Organisation, other.Organisation))
+		return cmp.Or(cmp.Compare(other.Demand, one.Demand), cmp.Compare(one.Organisation, other.Organisation))
 	})
 	count := min(len(usage.Organisations), maxOrganisations)
 	for _, small := range usage.Organisations[count:] {
-		usage.Rest += small.Asked
+		usage.RestDemand += small.Demand
 	}
 	usage.Organisations = usage.Organisations[:count]
 	return usage
 }
 
-// HeardUsage stores a peer's report of usage.
-func (gate *Gate) HeardUsage(now time.Time, from berylspoke.VMID, usage Usage) {
-	received := receivedUsage{now, make(map[uint32]total, len(usage.Organisations)), float64(usage.Rest)}
+// ReceiveUsage stores a peer's report of usage.
+func (gate *Gate) ReceiveUsage(now time.Time, from berylspoke.VMID, usage Usage) {
+	received := receivedUsage{now, make(map[uint32]total, len(usage.Organisations)), float64(usage.RestDemand)}
 	for _, item := range usage.Organisations {
 		received.organisations[item.Organisation] = item.total()
 	}
--- a/core/berylgate/usage_test.go
+++ b/core/berylgate/usage_test.go
@@ -40,16 +40,16 @@
 		own := collectors[gate.options.FailureDomain]
 		reports := gate.UsageReports(now, own == gate)
 		if reports.ToCollectors != nil && own != gate {
-			own.HeardUsage(now, gate.options.VM, *reports.ToCollectors)
+			own.ReceiveUsage(now, gate.options.VM, *reports.ToCollectors)
 		}
 		for _, other := range fleet.gates {
 			near := other.options.FailureDomain == gate.options.FailureDomain
 			switch {
 			case other == gate:
 			case near && reports.ToMembers != nil:
-				other.HeardUsage(now, gate.options.VM, *reports.ToMembers)
+				other.ReceiveUsage(now, gate.options.VM, *reports.ToMembers)
 			case !near && reports.ToDomains != nil && collectors[other.options.FailureDomain] == other:
-				other.HeardUsage(now, gate.options.VM, *reports.ToDomains)
+				other.ReceiveUsage(now, gate.options.VM, *reports.ToDomains)
 			}
 		}
 	}
@@ -114,7 +114,7 @@
 		gate.shares.usage(large).addDemand(now, 45_000)
 		gate.shares.usage(large).served.add(now, 10_000)
 	}
-	small.Rejected(now, map[berylspoke.OrganisationID]berylspoke.Tokens{"pinned": 300_000})
+	small.CountRejected(now, map[berylspoke.OrganisationID]berylspoke.Tokens{"pinned": 300_000})
 	fleet.exchangeRounds(now, 3)
 	seen := fleet.gates[3]
 	require.InEpsilon(t, largeFleetMaxGap*190_000/shareWindow.Seconds(), capSeen(now, seen), 0.01)
@@ -136,7 +136,7 @@
 		rejected[organisation] = berylspoke.Tokens(requests) * 2_000
 	}
 	gate.shares.others = map[uint32]total{hashOf("elsewhere"): {demand: 10 * 100_000 / shareWindow.Seconds()}}
-	gate.Rejected(now, rejected)
+	gate.CountRejected(now, rejected)
 	for organisation, tokens := range map[string]float64{"large": 495 * 2_000, "middle": 385 * 2_000, "small": 22 * 2_000} {
 		usage := gate.shares.usage(hashOf(organisation))
 		require.InEpsilon(t, tokens/shareWindow.Seconds(), usage.demand.now(now), 0.001, organisation)
@@ -175,8 +175,8 @@
 			request := newRequest(now, "large", berylspoke.PromptSegment{ID: uint64(tick), Tokens: 800})
 			if gate.Submit(now, request).Refusal == nil {
 				served[tick/second] += TokensOf(request)
-				gate.Began(now, request, nil)
-				gate.Ended(now, request, Succeeded)
+				gate.AnswerStarted(now, request, nil)
+				gate.AttemptEnded(now, request, Succeeded)
 			}
 		}
 		fleet.exchange(now)
@@ -206,7 +206,7 @@
 	}
 	require.NotNil(t, submit("ahead").Refusal)
 	behind := submit("behind")
-	require.Greater(t, behind.Over, 2.0, "beyond its level")
+	require.Greater(t, behind.Overuse, 2.0, "beyond its level")
 	require.Greater(t, behind.Expected, behind.Limit, "later than its own limit")
 	require.Nil(t, behind.Refusal)
 }
@@ -239,8 +239,8 @@
 		demand[organisation][round] += float64(TokensOf(request))
 		if gate.Submit(now, request).Refusal == nil {
 			served[organisation][round] += float64(TokensOf(request))
-			gate.Began(now, request, nil)
-			gate.Ended(now, request, Succeeded)
+			gate.AnswerStarted(now, request, nil)
+			gate.AttemptEnded(now, request, Succeeded)
 		}
 	}
 	for tick := range rounds * second {
@@ -296,7 +296,7 @@
 	gate := newGate(now, 1, 4, false)
 	require.Empty(t, gate.Allowances(now))
 	for range 20 {
-		gate.RejectedOverCap(now, map[berylspoke.OrganisationID]berylspoke.Tokens{"flood": 100_000})
+		gate.CountRejectedOverCap(now, map[berylspoke.OrganisationID]berylspoke.Tokens{"flood": 100_000})
 	}
 	gate.Submit(now, newRequest(now, "small", berylspoke.PromptSegment{ID: 1, Tokens: 1_000}))
 	now = now.Add(levelInterval)
--- a/core/berylmodel/fleet.go
+++ b/core/berylmodel/fleet.go
@@ -186,7 +186,7 @@
 		fleet.schedule(now.Add(fleet.options.ReportLatency), func(now time.Time) {
 			for other, peer := range fleet.gates {
 				if other != entry {
-					peer.Heard(now, entryName(entry), report)
+					peer.ReceiveReport(now, entryName(entry), report)
 				}
 			}
 		})
@@ -206,8 +206,8 @@
 	updateTallies(func(tally *Tally) { tally.Submitted++ })
 	request := &berylgate.Request{
 		Service: modelService, Organisation: OrganisationName(arrival.Organisation), Kind: berylspoke.Streaming,
-		Arrived: now, Objective: kind.Objective, Attempts: 1,
-		Input: arrival.Input, Output: arrival.Output, Parts: arrival.Segments,
+		Arrived: now, Objective: kind.Objective, MaxAttempts: 1,
+		Input: arrival.Input, Output: arrival.Output, Segments: arrival.Segments,
 	}
 	gate := fleet.gates[arrival.Entry]
 	target, expected, placed := fleet.place(now, arrival, gate, request)
@@ -230,18 +230,18 @@
 			}
 		})
 		load := engine.Load()
-		fleet.schedule(started, func(now time.Time) { gate.Began(now, request, &load) })
+		fleet.schedule(started, func(now time.Time) { gate.AnswerStarted(now, request, &load) })
 	}
 	job.Ended = func(ended time.Time) {
 		fleet.schedule(ended, func(now time.Time) {
 			fleet.inFlight[arrival.Entry][target]--
-			gate.Ended(now, request, berylgate.Succeeded)
+			gate.AttemptEnded(now, request, berylgate.Succeeded)
 		})
 	}
 	if !engine.Admit(now, job) {
 		updateTallies(func(tally *Tally) { tally.Rejected++ })
 		fleet.inFlight[arrival.Entry][target]--
-		gate.Ended(now, request, berylgate.Turned)
+		gate.AttemptEnded(now, request, berylgate.Rejected)
 		return
 	}
 	fleet.runSteps(now, engine)
--- a/core/berylnode/node.go
+++ b/core/berylnode/node.go
@@ -31,7 +31,7 @@
 	queue   *berylshare.Queue
 	holder  *berylslot.Holder
 	lessor  *berylslot.Lessor
-	lessors *berylroute.Keepers
+	lessors *berylroute.Lessors
 	// round selects the last of the lessors to ask, which rotates; rotated is the time of
 	// its last change.
 	round   uint64
--- a/core/berylnode/placement.go
+++ b/core/berylnode/placement.go
@@ -54,7 +54,7 @@
 	return text.String()
 }
 
-func (node *Node) placeService(now time.Time, id berylspoke.ServiceID, lessors *berylroute.Keepers) {
+func (node *Node) placeService(now time.Time, id berylspoke.ServiceID, lessors *berylroute.Lessors) {
 	found := node.services[id]
 	if found == nil {
 		found = &service{
@@ -68,11 +68,11 @@
 	for target, lessor := range lessors.Of {
 		found.holder.ReassignTarget(target, lessor)
 	}
-	if found.lessor == nil && len(lessors.Mine) > 0 {
+	if found.lessor == nil && len(lessors.Own) > 0 {
 		found.lessor = berylslot.NewLessor(now, node.self, id, node.options.Keeper)
 	}
 	if found.lessor != nil {
-		found.lessor.SetTargets(now, lessors.Mine)
+		found.lessor.SetTargets(now, lessors.Own)
 	}
 }
 
@@ -115,7 +115,7 @@
 		service.round++
 	}
 	lessors := berylslot.Lessors{
-		Local: berylroute.Window(service.lessors.Local, node.options.MaxLessors, service.round),
+		Local: berylroute.SelectLessors(service.lessors.Local, node.options.MaxLessors, service.round),
 		// Newcomers are reported with a tag lower by the slack. This alone must not
 		// send them over the link between regions, which is paid by volume.
 		Margin: node.options.CrossMargin + node.options.Keeper.Slack,
@@ -124,7 +124,7 @@
 		lessors.Margin = 0
 	}
 	if node.mayCrossRegions(now, service) {
-		lessors.Remote = berylroute.Window(service.lessors.Remote, maxRemoteLessors, service.round)
+		lessors.Remote = berylroute.SelectLessors(service.lessors.Remote, maxRemoteLessors, service.round)
 	}
 	return lessors
 }
@@ -149,7 +149,7 @@
 	if service.backlogged.IsZero() {
 		service.backlogged = now
 	}
-	return now.Sub(service.backlogged) >= node.options.CrossAfter && node.crossBudget.Left(now) > 0
+	return now.Sub(service.backlogged) >= node.options.CrossAfter && node.crossBudget.Remaining(now) > 0
 }
 
 // isRemote reports whether a target is in another region.
@@ -166,7 +166,7 @@
 		share = float64(node.Declarations().Organisations[organisation].Weight) / node.totalWeight
 	}
 	var addresses []string
-	for _, vm := range berylroute.Entries(node.fleet, organisation, share) {
+	for _, vm := range berylroute.EntryVMs(node.fleet, organisation, share) {
 		if member := node.table.Member(vm); member != nil {
 			addresses = append(addresses, member.VM.CallAddress)
 		}
@@ -180,7 +180,7 @@
 func (node *Node) chooseWitness() berylspoke.Process {
 	var best berylspoke.Process
 	bestRank := -1
-	for _, vm := range berylroute.Preferred("witness of "+string(node.self.VM), node.table.Live()) {
+	for _, vm := range berylroute.RankVMs("witness of "+string(node.self.VM), node.table.Live()) {
 		incarnation := node.table.Incarnation(vm)
 		if vm == node.self.VM || incarnation == 0 {
 			continue
--- a/core/berylnode/requests.go
+++ b/core/berylnode/requests.go
@@ -187,7 +187,7 @@
 
 // launch appends the effect that sends the request to its target.
 func (node *Node) launch(active *activeRequest) {
-	node.prefixes.Note(active.started.Prefix, active.placement.Target)
+	node.prefixes.Record(active.started.Prefix, active.placement.Target)
 	node.effects.Starts = append(node.effects.Starts, Start{active.started.Request, active.placement.Target})
 }
 
@@ -225,7 +225,7 @@
 	if outcome.Failed {
 		node.health.Failed(now, active.placement.Target)
 	} else {
-		node.health.Worked(active.placement.Target)
+		node.health.Succeeded(active.placement.Target)
 	}
 	if node.isRemote(active.placement.Target) {
 		node.crossBudget.Charge(now, float64(outcome.Bytes))
--- a/core/berylroute/budget.go
+++ b/core/berylroute/budget.go
@@ -45,8 +45,8 @@
 	budget.credit -= units
 }
 
-// Left returns the remaining units.
-func (budget *Budget) Left(now time.Time) float64 {
+// Remaining returns the remaining units.
+func (budget *Budget) Remaining(now time.Time) float64 {
 	budget.refill(now)
 	return budget.credit
 }
--- a/core/berylroute/health.go
+++ b/core/berylroute/health.go
@@ -38,8 +38,8 @@
 	record.until = now.Add(pause)
 }
 
-// Worked ends a target's pause.
-func (health *Health) Worked(target berylspoke.TargetID) { delete(health.failing, target) }
+// Succeeded ends a target's pause.
+func (health *Health) Succeeded(target berylspoke.TargetID) { delete(health.failing, target) }
 
 // Usable reports whether a request may be sent to the target now.
 func (health *Health) Usable(now time.Time, target berylspoke.TargetID) bool {
--- a/core/berylroute/placement.go
+++ b/core/berylroute/placement.go
@@ -11,15 +11,15 @@
 	"berylspoke/core/berylmember"
 )
 
-// Keepers are the lessors of one service's targets, as one entry daemon sees them.
-type Keepers struct {
+// Lessors are the lessors of one service's targets, as one entry daemon sees them.
+type Lessors struct {
 	// Of maps each serving target to its lessor.
 	Of map[berylspoke.TargetID]berylspoke.VMID
 	// Local and Remote list the lessors inside and outside the entry daemon's region,
 	// in the order in which it prefers them.
 	Local, Remote []berylspoke.VMID
 	// The targets whose lessor is this daemon.
-	Mine []berylspoke.TargetID
+	Own []berylspoke.TargetID
 }
 
 // Fleet is the input of placement.
@@ -49,10 +49,10 @@
 // The lessor of a target is in the target's region, so that a partition between regions
 // leaves each side with lessors for all targets that it can reach. If no VM is live
 // there, any VM may be the lessor.
-func Place(fleet Fleet) map[berylspoke.ServiceID]*Keepers {
-	placed := make(map[berylspoke.ServiceID]*Keepers, len(fleet.Declarations.Services))
+func Place(fleet Fleet) map[berylspoke.ServiceID]*Lessors {
+	placed := make(map[berylspoke.ServiceID]*Lessors, len(fleet.Declarations.Services))
 	for service := range fleet.Declarations.Services {
-		placed[service] = &Keepers{Of: make(map[berylspoke.TargetID]berylspoke.VMID)}
+		placed[service] = &Lessors{Of: make(map[berylspoke.TargetID]berylspoke.VMID)}
 	}
 	groups := fleet.regions()
 	for region, targets := range fleet.targets() {
@@ -111,11 +111,11 @@
 const spreadFactor = 1.1
 
 // arrange derives the lists of one entry daemon from the lessors of all targets.
-func (lessors *Keepers) arrange(fleet Fleet) {
+func (lessors *Lessors) arrange(fleet Fleet) {
 	local, remote := make(map[berylspoke.VMID]bool), make(map[berylspoke.VMID]bool)
 	for target, lessor := range lessors.Of {
 		if lessor == fleet.Self {
-			lessors.Mine = append(lessors.Mine, target)
+			lessors.Own = append(lessors.Own, target)
 		}
 		if fleet.Declarations.Region(fleet.Declarations.Targets[target].FailureDomain) == fleet.region(fleet.Self) {
 			local[lessor] = true
@@ -136,11 +136,11 @@
 	return list
 }
 
-// Window returns the count lessors to request slots from in the given round: the
+// SelectLessors returns the count lessors to request slots from in the given round: the
 // preferred ones, but in the last place one of the others, which changes from round to
 // round. An entry daemon with a backlog thus finds free capacity that its preferred
 // lessors lack.
-func Window(lessors []berylspoke.VMID, count int, round uint64) []berylspoke.VMID {
+func SelectLessors(lessors []berylspoke.VMID, count int, round uint64) []berylspoke.VMID {
 	if len(lessors) <= count {
 		return lessors
 	}
@@ -149,9 +149,9 @@
 	return append(window, rest[round%uint64(len(rest))])
 }
 
-// Entries returns the VMs that an organisation's callers should use, best first: VMs of
+// EntryVMs returns the VMs that an organisation's callers should use, best first: VMs of
 // the resolving daemon's region, more of them for a larger share.
-func Entries(fleet Fleet, organisation berylspoke.OrganisationID, share float64) []berylspoke.VMID {
+func EntryVMs(fleet Fleet, organisation berylspoke.OrganisationID, share float64) []berylspoke.VMID {
 	candidates := fleet.regions()[fleet.region(fleet.Self)]
 	if len(candidates) == 0 {
 		candidates = fleet.Live
@@ -172,7 +172,7 @@
 	return berylmember.TopRanked("organisation "+string(organisation), live)
 }
 
-// Preferred returns all VMs in falling score for the key.
-func Preferred(key string, vms []berylspoke.VMID) []berylspoke.VMID {
+// RankVMs returns all VMs in falling score for the key.
+func RankVMs(key string, vms []berylspoke.VMID) []berylspoke.VMID {
 	return berylmember.Ranked(key, vms, len(vms))
 }
--- a/core/berylroute/prefix.go
+++ b/core/berylroute/prefix.go
@@ -13,9 +13,9 @@
 	maxPrefixes = 8192
 )
 
-// PrefixOf returns the hash of a prompt's first bytes, zero for a prompt so short that it
-// is cheaper to compute than to look up.
-func PrefixOf(prompt string) uint64 {
+// PrefixHash returns the hash of a prompt's first bytes, zero for a prompt so short that
+// it is cheaper to compute than to look up.
+func PrefixHash(prompt string) uint64 {
 	if len(prompt) < prefixBytes {
 		return 0
 	}
@@ -33,8 +33,8 @@
 // NewPrefixes returns an empty record.
 func NewPrefixes() *Prefixes { return &Prefixes{targets: make(map[uint64]berylspoke.TargetID)} }
 
-// Note records that a target now holds the prefix.
-func (prefixes *Prefixes) Note(prefix uint64, target berylspoke.TargetID) {
+// Record records that a target now holds the prefix.
+func (prefixes *Prefixes) Record(prefix uint64, target berylspoke.TargetID) {
 	if prefix == 0 {
 		return
 	}
--- a/core/berylroute/route_test.go
+++ b/core/berylroute/route_test.go
@@ -84,7 +84,7 @@
 	}
 	require.False(t, health.Usable(now.Add(maxPause-time.Millisecond), "t"))
 	require.True(t, health.Usable(now.Add(maxPause), "t"))
-	health.Worked("t")
+	health.Succeeded("t")
 	require.True(t, health.Usable(now, "t"))
 }
 
--- a/io/beryledge/actor.go
+++ b/io/beryledge/actor.go
@@ -142,13 +142,13 @@
 	case submit:
 		message.decision <- core.gate.Submit(now, message.request)
 	case reserve:
-		message.granted <- core.gate.Reserve(now, message.request)
+		message.granted <- core.gate.ReserveRetry(now, message.request)
 	case answerStarted:
-		core.gate.Began(now, message.request, message.load)
+		core.gate.AnswerStarted(now, message.request, message.load)
 	case attemptEnded:
-		core.gate.Ended(now, message.request, message.outcome)
+		core.gate.AttemptEnded(now, message.request, message.outcome)
 	case connectTimed:
-		core.gate.TimedWay(message.target, message.duration)
+		core.gate.ObserveConnectTime(message.target, message.duration)
 	case tick:
 		core.tick(now)
 	case peerMessages:
@@ -185,14 +185,14 @@
 	core.syncMembers(now)
 	core.gate.Tick(now)
 	interval := reportInterval
-	if core.gate.Sampled() {
+	if core.gate.LargeFleet() {
 		interval = sampledReportInterval
 	}
 	if now.Sub(core.lastReport) >= interval || core.gate.Urgent() {
 		core.lastReport = now
 		core.report(now)
 	}
-	if core.gate.Sampled() {
+	if core.gate.LargeFleet() {
 		core.sendUsageReports(now)
 	}
 	if !core.graceEnd.IsZero() && !now.Before(core.graceEnd) {
@@ -210,7 +210,7 @@
 	contact := core.newestContact(now)
 	report.Contact, report.ContactID = contact.Age, contact.ID
 	to := core.livePeers()
-	if len(to) > berylgate.FullMesh {
+	if len(to) > berylgate.MaxFullMeshPeers {
 		to = core.table.Links()
 	}
 	for _, vm := range to {
@@ -259,11 +259,11 @@
 			core.daemon.transport.Send(from, *reply)
 		}
 	case berylgate.Report:
-		core.gate.Heard(now, from, message)
+		core.gate.ReceiveReport(now, from, message)
 		core.observeContact(now, berylfeed.Contact{ID: message.ContactID, Age: message.Contact})
 		core.compareFeeds(now, from, message.Feeds)
 	case berylgate.Usage:
-		core.gate.HeardUsage(now, from, message)
+		core.gate.ReceiveUsage(now, from, message)
 	case berylfeed.Pull:
 		if message.Feed >= berylfeed.Count {
 			return
--- a/io/beryledge/admission.go
+++ b/io/beryledge/admission.go
@@ -338,8 +338,8 @@
 // organisations beyond their cap may still start.
 func (core *core) refreshAdmission(now time.Time) {
 	admission := core.daemon.admission
-	core.gate.Rejected(now, admission.collectRejected(beryladmission.Overload))
-	core.gate.RejectedOverCap(now, admission.collectRejected(beryladmission.OverCap))
+	core.gate.CountRejected(now, admission.collectRejected(beryladmission.Overload))
+	core.gate.CountRejectedOverCap(now, admission.collectRejected(beryladmission.OverCap))
 	if !admission.overloaded(now) {
 		admission.setAllowances(nil)
 		return
--- a/io/beryledge/attempt.go
+++ b/io/beryledge/attempt.go
@@ -37,7 +37,7 @@
 func (call *call) attempt(decision berylgate.Decision) bool {
 	ctx, cancel := context.WithCancelCause(call.ctx)
 	defer cancel(nil)
-	if call.repeatable() && call.request.Attempts > 1 {
+	if call.repeatable() && call.request.MaxAttempts > 1 {
 		timeout := max(minFirstByteTimeout, firstByteTimeoutFactor*decision.Expected)
 		timer := time.AfterFunc(timeout, func() {
 			// The last allowed attempt continues for as long as its caller waits.
@@ -66,7 +66,7 @@
 	info := call.daemon.dialect.ParseResponse(exchange.Response.StatusCode, exchange.Response.Header)
 	if info.NotRun {
 		call.drain(exchange)
-		call.endAttempt(decision, berylgate.Turned, nil)
+		call.endAttempt(decision, berylgate.Rejected, nil)
 		return false
 	}
 	if call.route.Kind == berylspoke.Streaming && exchange.Response.StatusCode == http.StatusOK {
@@ -111,17 +111,17 @@
 	unsent := errors.As(err, &failure) && failure.Unsent
 	switch {
 	case errors.Is(err, berylconn.ErrUnwanted):
-		call.endAttempt(decision, berylgate.Crowded, err)
+		call.endAttempt(decision, berylgate.NoConnection, err)
 		if callerDisconnected(call.incoming.Context()) {
 			call.disconnected()
 		}
 	case errors.Is(err, berylconn.ErrBusy):
-		call.endAttempt(decision, berylgate.Crowded, err)
+		call.endAttempt(decision, berylgate.NoConnection, err)
 	case call.ctx.Err() != nil:
 		call.mayHaveRun = call.mayHaveRun || !unsent
 		call.endAttempt(decision, berylgate.Abandoned, err)
 	case unsent:
-		call.endAttempt(decision, berylgate.Unreached, err)
+		call.endAttempt(decision, berylgate.Unreachable, err)
 	default:
 		return call.answerFailed(decision, err)
 	}
@@ -153,14 +153,14 @@
 	call.daemon.meters.outcomes[outcome].Inc()
 	fields := []zap.Field{
 		zap.String("target", string(decision.Target.ID)), zap.Stringer("outcome", outcome),
-		zap.Duration("expected", decision.Expected), zap.Float64("over", decision.Over),
-		zap.Float64("queue", decision.Queue), zap.Float64("pace", decision.Pace),
+		zap.Duration("expected", decision.Expected), zap.Float64("over", decision.Overuse),
+		zap.Float64("queue", decision.QueueMillis), zap.Float64("pace", decision.Slowdown),
 		zap.Int64("input", int64(call.info.Input)), zap.Int64("output", int64(call.request.Output)),
-		zap.Int64("shared", int64(decision.Shared)), zap.Int64("kept", int64(decision.Kept)),
+		zap.Int64("shared", int64(decision.Shared)), zap.Int64("kept", int64(decision.Cached)),
 		zap.Int("running", decision.Running),
 	}
-	if decision.Source != nil {
-		fields = append(fields, zap.String("source", string(decision.Source.ID)))
+	if decision.CacheSource != nil {
+		fields = append(fields, zap.String("source", string(decision.CacheSource.ID)))
 	}
 	if call.firstByte > 0 {
 		fields = append(fields, zap.Duration("firstByte", call.firstByte))
@@ -178,8 +178,8 @@
 		TimeRemaining: time.Until(call.request.Deadline), Target: decision.Target.ID, Organisation: call.organisation,
 		Resume: call.stream.started, LastEvent: call.stream.last,
 	}
-	if decision.Source != nil {
-		forward.CacheSource = decision.Source.Address
+	if decision.CacheSource != nil {
+		forward.CacheSource = decision.CacheSource.Address
 	}
 	header := call.daemon.dialect.ForwardHeaders(call.incoming.Header, forward)
 	if _, stated := header["User-Agent"]; !stated {
@@ -239,7 +239,7 @@
 	exchange.Done()
 	call.mayHaveRun = true
 	if response.StatusCode >= http.StatusInternalServerError {
-		call.endAttempt(decision, berylgate.Erred, nil)
+		call.endAttempt(decision, berylgate.TargetFailed, nil)
 		if call.repeatable() && call.retry(decision) {
 			return false
 		}
--- a/io/beryledge/callers.go
+++ b/io/beryledge/callers.go
@@ -141,8 +141,8 @@
 	return &berylgate.Request{
 		ID: call.info.ID, Service: berylcatalog.PickService(call.route, call.info.ID), Organisation: call.organisation,
 		Kind: call.route.Kind, Arrived: call.arrived, Objective: call.route.Objective,
-		Deadline: call.arrived.Add(wait), Attempts: attempts,
-		Input: call.info.Input, Output: output, Parts: call.info.Segments,
+		Deadline: call.arrived.Add(wait), MaxAttempts: attempts,
+		Input: call.info.Input, Output: output, Segments: call.info.Segments,
 		Regions: index.Regions(call.route, call.organisation),
 	}
 }
@@ -221,11 +221,11 @@
 	fields := []zap.Field{
 		zap.String("reason", string(refusal.Reason)), zap.Bool("mayHaveRun", call.mayHaveRun),
 		zap.String("target", string(decision.Target.ID)), zap.Duration("expected", decision.Expected),
-		zap.Duration("limit", decision.Limit), zap.Float64("over", decision.Over),
-		zap.Float64("queue", decision.Queue), zap.Float64("pace", decision.Pace),
+		zap.Duration("limit", decision.Limit), zap.Float64("over", decision.Overuse),
+		zap.Float64("queue", decision.QueueMillis), zap.Float64("pace", decision.Slowdown),
 		zap.Int("running", decision.Running), zap.Int64("tokens", int64(decision.Tokens)),
 		zap.Int64("input", int64(call.info.Input)), zap.Int64("output", int64(call.request.Output)),
-		zap.Float64("asked", decision.Share.Asked), zap.Float64("given", decision.Share.Given),
+		zap.Float64("asked", decision.Share.Demand), zap.Float64("given", decision.Share.Served),
 		zap.Float64("level", decision.Share.Level), zap.Float64("cap", decision.Share.Cap),
 	}
 	if call.stream.started {
--- a/io/beryledge/daemon_test.go
+++ b/io/beryledge/daemon_test.go
@@ -354,7 +354,7 @@
 		incoming: httptest.NewRequest(http.MethodPost, "/file/x", nil),
 		route:    &berylspoke.Route{Kind: berylspoke.NonIdempotent},
 		request: &berylgate.Request{
-			Service: "desk", Arrived: time.Now(), Objective: time.Minute, Deadline: time.Now().Add(time.Minute), Attempts: 1,
+			Service: "desk", Arrived: time.Now(), Objective: time.Minute, Deadline: time.Now().Add(time.Minute), MaxAttempts: 1,
 		},
 	}
 	decision := call.decide()
--- a/io/beryledge/fakes_test.go
+++ b/io/beryledge/fakes_test.go
@@ -306,7 +306,7 @@
 			for range enough {
 				request := &berylgate.Request{Service: service, Arrived: now, Objective: time.Minute}
 				core.gate.Submit(now, request)
-				core.gate.Ended(now, request, berylgate.Abandoned)
+				core.gate.AttemptEnded(now, request, berylgate.Abandoned)
 			}
 		}
 	})
--- a/io/beryledge/rejection_test.go
+++ b/io/beryledge/rejection_test.go
@@ -62,7 +62,7 @@
 				Service: "engines", Organisation: organisation, Arrived: now, Objective: time.Hour, Input: 50_000,
 			}
 			core.gate.Submit(now, request)
-			core.gate.Ended(now, request, berylgate.Abandoned)
+			core.gate.AttemptEnded(now, request, berylgate.Abandoned)
 		}
 	})
 }
--- a/io/beryledge/store.go
+++ b/io/beryledge/store.go
@@ -87,7 +87,7 @@
 // contactAgeLimit returns how old the last contact of any daemon may be before a daemon
 // that is no watcher reads the store itself.
 func (daemon *Daemon) contactAgeLimit() time.Duration {
-	if len(daemon.entries.Load().domains) > berylgate.FullMesh {
+	if len(daemon.entries.Load().domains) > berylgate.MaxFullMeshPeers {
 		return maxSampledContactAge
 	}
 	return maxContactAge
--- a/io/berylpeer/peer_test.go
+++ b/io/berylpeer/peer_test.go
@@ -58,14 +58,14 @@
 			Grace: 1500 * time.Millisecond,
 		}}},
 		berylgate.Usage{
-			Extent: berylgate.DomainUsage, Domain: "a", Rest: 5_000,
-			Organisations: []berylgate.OrganisationReport{{Organisation: 8, Asked: 9_000, Given: 4_000}},
+			Extent: berylgate.DomainUsage, Domain: "a", RestDemand: 5_000,
+			Organisations: []berylgate.OrganisationReport{{Organisation: 8, Demand: 9_000, Served: 4_000}},
 		},
 		berylgate.Report{
 			Incarnation: 5, Feeds: []berylspoke.Revision{20, 21}, Contact: 300 * time.Millisecond, ContactID: 7<<32 | 1,
-			Targets:       []berylgate.TargetReport{{Target: 9, Work: 1_200, Running: 3, Tokens: 24_000}},
+			Targets:       []berylgate.TargetReport{{Target: 9, WorkMillis: 1_200, Running: 3, Tokens: 24_000}},
 			Loads:         []berylgate.LoadReport{{Target: 9, Running: 12, Waiting: 3, Age: 200 * time.Millisecond}},
-			Organisations: []berylgate.OrganisationReport{{Organisation: 8, Asked: 9_000, Given: 4_000}},
+			Organisations: []berylgate.OrganisationReport{{Organisation: 8, Demand: 9_000, Served: 4_000}},
 		},
 	}
 }
--- a/io/berylpeer/wirefeed.go
+++ b/io/berylpeer/wirefeed.go
@@ -85,13 +85,13 @@
 	_              struct{} `cbor:",toarray"`
 	Organisation   uint32
 	Demand, Served uint32
-	CPUStarved     bool
+	CPULimited     bool
 }
 
 func organisationsToWire(reports []berylgate.OrganisationReport) []wireOrganisationReport {
 	wire := make([]wireOrganisationReport, 0, len(reports))
 	for _, item := range reports {
-		wire = append(wire, wireOrganisationReport{Organisation: item.Organisation, Demand: item.Asked, Served: item.Given, CPUStarved: item.Short})
+		wire = append(wire, wireOrganisationReport{Organisation: item.Organisation, Demand: item.Demand, Served: item.Served, CPULimited: item.CPULimited})
 	}
 	return wire
 }
@@ -100,7 +100,7 @@
 	var reports []berylgate.OrganisationReport
 	for _, item := range wire {
 		reports = append(reports, berylgate.OrganisationReport{
-			Organisation: item.Organisation, Asked: item.Demand, Given: item.Served, Short: item.CPUStarved,
+			Organisation: item.Organisation, Demand: item.Demand, Served: item.Served, CPULimited: item.CPULimited,
 		})
 	}
 	return reports
@@ -117,14 +117,14 @@
 func usageToWire(usage berylgate.Usage) *wireUsage {
 	return &wireUsage{
 		Extent: uint8(usage.Extent), Domain: string(usage.Domain),
-		Organisations: organisationsToWire(usage.Organisations), OtherDemand: usage.Rest,
+		Organisations: organisationsToWire(usage.Organisations), OtherDemand: usage.RestDemand,
 	}
 }
 
 func (wire *wireUsage) message(berylspoke.VMID) berylspoke.Message {
 	return berylgate.Usage{
 		Extent: berylgate.Extent(wire.Extent), Domain: berylspoke.FailureDomain(wire.Domain),
-		Organisations: organisationsFromWire(wire.Organisations), Rest: wire.OtherDemand,
+		Organisations: organisationsFromWire(wire.Organisations), RestDemand: wire.OtherDemand,
 	}
 }
 
@@ -146,7 +146,7 @@
 	}
 	for _, item := range report.Targets {
 		wire.Targets = append(wire.Targets, wireTargetReport{
-			Target: item.Target, WorkMillis: item.Work, Running: item.Running, Tokens: int64(item.Tokens), PendingMillis: item.Pending,
+			Target: item.Target, WorkMillis: item.WorkMillis, Running: item.Running, Tokens: int64(item.Tokens), PendingMillis: item.PendingMillis,
 		})
 	}
 	for _, item := range report.Loads {
@@ -165,7 +165,7 @@
 	}
 	for _, item := range wire.Targets {
 		report.Targets = append(report.Targets, berylgate.TargetReport{
-			Target: item.Target, Work: item.WorkMillis, Running: item.Running, Tokens: berylspoke.Tokens(item.Tokens), Pending: item.PendingMillis,
+			Target: item.Target, WorkMillis: item.WorkMillis, Running: item.Running, Tokens: berylspoke.Tokens(item.Tokens), PendingMillis: item.PendingMillis,
 		})
 	}
 	for _, item := range wire.Loads {
--- a/io/berylserve/attempt.go
+++ b/io/berylserve/attempt.go
@@ -34,7 +34,7 @@
 			Service: service, Call: call,
 			Waiting: berylshare.Waiting{
 				Request: id, Organisation: from.organisation, Hint: hint,
-				Prefix: berylroute.PrefixOf(prompt), Arrived: now,
+				Prefix: berylroute.PrefixHash(prompt), Arrived: now,
 				Deadline: now.Add(berylsettings.Millis(daemon.settings.Callers.MaxWaitMillis)),
 			},
 		},
