--- a/core/berylnode/config.go
+++ b/core/berylnode/config.go
@@ -219,10 +219,10 @@
 	}
 }
 
-// Watches reports whether this daemon watches the platform for patches. A few daemons in
-// each failure domain do, chosen among the live ones. A daemon that is not ready always
-// does, so that a lost watcher or a partition cannot delay updates for long.
-func (node *Node) Watches(now time.Time) bool {
+// WatchesPlatform reports whether this daemon watches the platform for patches. A few
+// daemons in each failure domain do, chosen among the live ones. A daemon that is not
+// ready always does, so that a lost watcher or a partition cannot delay updates for long.
+func (node *Node) WatchesPlatform(now time.Time) bool {
 	if !node.Ready() {
 		return true
 	}
--- a/core/berylnode/effects.go
+++ b/core/berylnode/effects.go
@@ -14,7 +14,7 @@
 // Request is one attempt of a caller's request at this entry daemon.
 type Request struct {
 	Service berylspoke.ServiceID
-	berylshare.Waiting
+	berylshare.QueuedRequest
 	// Call is the ID of a non-idempotent request, nil for an idempotent one.
 	Call *berylticket.CallID
 }
@@ -66,7 +66,7 @@
 	Incarnation berylspoke.Incarnation
 	Policy      berylshare.Policy
 	Queue       berylshare.Options
-	Keeper      berylslot.LessorOptions
+	Lessor      berylslot.LessorOptions
 	// Quantum is the change in an organisation's charge that makes a report to its
 	// ledger due.
 	Quantum berylspoke.Tokens
@@ -78,8 +78,8 @@
 	// CrossMargin is how much lower the tag of such a request must be than the tags of
 	// the requests that wait there.
 	CrossMargin berylspoke.Tag
-	// CrossBytes is the budget for traffic between regions, in bytes per second.
-	CrossBytes float64
+	// CrossBytesPerSecond is the budget for traffic between regions, in bytes per second.
+	CrossBytesPerSecond float64
 	// MaxLessors bounds the lessors of its own region that an entry daemon requests slots
 	// from, for each service.
 	MaxLessors int
@@ -104,16 +104,16 @@
 			MaxWaiting:         20_000,
 			MaxPerOrganisation: 2_000,
 		},
-		Keeper:            berylslot.DefaultLessorOptions(),
-		Quantum:           100,
-		ReportEvery:       time.Second,
-		CrossAfter:        300 * time.Millisecond,
-		CrossMargin:       300 * berylspoke.TagScale,
-		CrossBytes:        400_000,
-		MaxLessors:        8,
-		PermitTimeout:     time.Second,
-		SettleTimeout:     time.Second,
-		MaxRecords:        32_768,
-		RetriesPerRequest: 0.1,
+		Lessor:              berylslot.DefaultLessorOptions(),
+		Quantum:             100,
+		ReportEvery:         time.Second,
+		CrossAfter:          300 * time.Millisecond,
+		CrossMargin:         300 * berylspoke.TagScale,
+		CrossBytesPerSecond: 400_000,
+		MaxLessors:          8,
+		PermitTimeout:       time.Second,
+		SettleTimeout:       time.Second,
+		MaxRecords:          32_768,
+		RetriesPerRequest:   0.1,
 	}
 }
--- a/core/berylnode/fair_test.go
+++ b/core/berylnode/fair_test.go
@@ -40,7 +40,7 @@
 	fleet.options = func(vm berylspoke.VM, incarnation berylspoke.Incarnation) Options {
 		options := DefaultOptions()
 		options.VM, options.Incarnation, options.Policy = vm, incarnation, policy
-		options.Keeper.Slack = berylspoke.Weight(1).Normalise(slack)
+		options.Lessor.Slack = berylspoke.Weight(1).Normalise(slack)
 		return options
 	}
 	targets := make(map[berylspoke.TargetID]berylconfig.Target)
--- a/core/berylnode/fleet_test.go
+++ b/core/berylnode/fleet_test.go
@@ -144,7 +144,7 @@
 		if node == nil || fleet.frozen[vm.ID] {
 			continue
 		}
-		if fleet.platformUp && node.Watches(fleet.now) && fleet.random.IntN(10) == 0 {
+		if fleet.platformUp && node.WatchesPlatform(fleet.now) && fleet.random.IntN(10) == 0 {
 			after := int(node.Config().Number)
 			if after < fleet.visiblePatches {
 				node.AddPatches(fleet.now, fleet.patches[after:fleet.visiblePatches])
@@ -184,7 +184,7 @@
 }
 
 func (fleet *fakeFleet) applyEffects(vm berylspoke.VMID, node *Node) {
-	effects := node.Take()
+	effects := node.TakeEffects()
 	peers := make(map[berylspoke.VMID]bool)
 	for _, send := range effects.Sends {
 		fleet.transmit(vm, send)
@@ -305,8 +305,8 @@
 		if fleet.frozen[vm] {
 			continue
 		}
-		for _, target := range node.Kept() {
-			node.Load(fleet.now, target, berylspoke.LoadReport{
+		for _, target := range node.LeasedTargets() {
+			node.HandleLoadReport(fleet.now, target, berylspoke.LoadReport{
 				Running: fleet.runningAt(target), Waiting: len(fleet.queued[target]),
 			})
 		}
@@ -317,7 +317,7 @@
 func (fleet *fakeFleet) submit(vm berylspoke.VMID, service berylspoke.ServiceID, org berylspoke.OrganisationID, id berylspoke.RequestID, cost berylspoke.Tokens, call *berylticket.CallID) {
 	fleet.costs[id], fleet.orgOf[id], fleet.callOf[id] = cost, org, call
 	node := fleet.nodes[vm]
-	node.Submit(fleet.now, Request{Service: service, Call: call, Waiting: berylshare.Waiting{
+	node.Submit(fleet.now, Request{Service: service, Call: call, QueuedRequest: berylshare.QueuedRequest{
 		Request: id, Organisation: org, Arrived: fleet.now, Deadline: fleet.now.Add(time.Hour),
 	}})
 	fleet.applyEffects(vm, node)
--- a/core/berylnode/node.go
+++ b/core/berylnode/node.go
@@ -92,7 +92,7 @@
 func New(now time.Time, options Options, seed uint64) *Node {
 	self := berylspoke.Process{VM: options.VM.ID, Incarnation: options.Incarnation}
 	options.Queue.Policy = options.Policy
-	options.Keeper.IgnoreTags = options.Policy != berylshare.FleetFair
+	options.Lessor.IgnoreTags = options.Policy != berylshare.FleetFair
 	return &Node{
 		options:            options,
 		self:               self,
@@ -108,7 +108,7 @@
 		health:             berylroute.NewHealth(),
 		prefixes:           berylroute.NewPrefixes(),
 		retryBudget:        berylroute.NewBudget(now, 1, retryBurst),
-		crossBudget:        berylroute.NewBudget(now, options.CrossBytes, options.CrossBytes*crossBurstSeconds),
+		crossBudget:        berylroute.NewBudget(now, options.CrossBytesPerSecond, options.CrossBytesPerSecond*crossBurstSeconds),
 		pendingPermits:     make(map[berylticket.CallID]*pendingPermit),
 		pendingSettlements: make(map[uint64]*pendingSettlement),
 		reportedAt:         make(map[berylspoke.VMID]time.Time),
@@ -149,11 +149,11 @@
 // Draining reports whether the daemon is leaving.
 func (node *Node) Draining() bool { return node.table.Member(node.self.VM).Rumour.Leaving }
 
-// Close makes the node refuse new requests; waiting and running requests continue.
-func (node *Node) Close() { node.closed = true }
+// StopAccepting makes the node refuse new requests; waiting and running requests continue.
+func (node *Node) StopAccepting() { node.closed = true }
 
-// Busy returns the number of waiting and running requests.
-func (node *Node) Busy() int { return len(node.waiting) + len(node.running) }
+// ActiveRequests returns the number of waiting and running requests.
+func (node *Node) ActiveRequests() int { return len(node.waiting) + len(node.running) }
 
 // SetVMs applies the platform's list of VMs.
 func (node *Node) SetVMs(now time.Time, vms []berylspoke.VM) {
@@ -282,8 +282,8 @@
 	node.flushDeferred(now)
 }
 
-// Take returns and clears the effects accumulated since the last call.
-func (node *Node) Take() Effects {
+// TakeEffects returns and clears the effects accumulated since the last call.
+func (node *Node) TakeEffects() Effects {
 	effects := node.effects
 	node.effects = Effects{}
 	return effects
@@ -302,7 +302,7 @@
 	}
 	state := berylslot.QueueState{
 		Waiting:     service.queue.Waiting(),
-		Tags:        service.queue.Tags(berylslot.MaxDemandTags, node.options.Keeper.Slack),
+		Tags:        service.queue.Tags(berylslot.MaxDemandTags, node.options.Lessor.Slack),
 		VirtualTime: service.queue.VirtualTime(),
 	}
 	for _, demand := range service.holder.Demands(now, node.activeLessors(now, service), state) {
--- a/core/berylnode/placement.go
+++ b/core/berylnode/placement.go
@@ -69,7 +69,7 @@
 		found.holder.ReassignTarget(target, lessor)
 	}
 	if found.lessor == nil && len(lessors.Own) > 0 {
-		found.lessor = berylslot.NewLessor(now, node.self, id, node.options.Keeper)
+		found.lessor = berylslot.NewLessor(now, node.self, id, node.options.Lessor)
 	}
 	if found.lessor != nil {
 		found.lessor.SetTargets(now, lessors.Own)
@@ -118,7 +118,7 @@
 		Local: berylroute.SelectLessors(service.lessors.Local, node.options.MaxLessors, service.round),
 		// Newcomers are reported with a tag lower by the slack. This alone must not
 		// send them over the link between regions, which is paid by volume.
-		Margin: node.options.CrossMargin + node.options.Keeper.Slack,
+		Margin: node.options.CrossMargin + node.options.Lessor.Slack,
 	}
 	if len(service.lessors.Local) == 0 {
 		lessors.Margin = 0
--- a/core/berylnode/requests.go
+++ b/core/berylnode/requests.go
@@ -41,7 +41,7 @@
 	}
 	node.retryBudget.Earn(node.options.RetriesPerRequest)
 	node.updateVirtualTime(now, service)
-	displaced, err := service.queue.Push(request.Waiting, organisation.Weight, organisation.MaxWaiting)
+	displaced, err := service.queue.Push(request.QueuedRequest, organisation.Weight, organisation.MaxWaiting)
 	if displaced != nil {
 		node.refuse(now, displaced.Request, berylspoke.ReasonOverload, overloadRetryAfter)
 	}
@@ -55,9 +55,9 @@
 	}
 }
 
-// Retry reports whether the budget allows a retry of an idempotent request, and charges
-// it.
-func (node *Node) Retry(now time.Time) bool { return node.retryBudget.Spend(now, 1) }
+// AllowRetry reports whether the budget allows a retry of an idempotent request, and
+// charges it.
+func (node *Node) AllowRetry(now time.Time) bool { return node.retryBudget.Spend(now, 1) }
 
 func (node *Node) updateVirtualTime(now time.Time, service *service) {
 	service.queue.SetVirtualTime(service.holder.VirtualTime(now, service.lessors.Local))
@@ -248,16 +248,17 @@
 	return ""
 }
 
-// Load passes a target's load report to its lessor.
-func (node *Node) Load(now time.Time, target berylspoke.TargetID, report berylspoke.LoadReport) {
+// HandleLoadReport passes a target's load report to its lessor.
+func (node *Node) HandleLoadReport(now time.Time, target berylspoke.TargetID, report berylspoke.LoadReport) {
 	service := node.services[node.Declarations().Targets[target].Service]
 	if service != nil && service.lessor != nil {
 		service.lessor.Report(now, target, report)
 	}
 }
 
-// Kept returns the targets whose lessor is this daemon and whose load it must read.
-func (node *Node) Kept() []berylspoke.TargetID {
+// LeasedTargets returns the targets whose lessor is this daemon and whose load it must
+// read.
+func (node *Node) LeasedTargets() []berylspoke.TargetID {
 	var targets []berylspoke.TargetID
 	for _, service := range node.services {
 		if service.lessor != nil {
--- a/core/berylshare/account.go
+++ b/core/berylshare/account.go
@@ -13,7 +13,7 @@
 type account struct {
 	organisation berylspoke.OrganisationID
 	weight       berylspoke.Weight
-	waiting      []Waiting
+	waiting      []QueuedRequest
 	running      int
 	reserved     berylspoke.Tokens
 	estimator    estimator
--- a/core/berylshare/ledger.go
+++ b/core/berylshare/ledger.go
@@ -57,12 +57,12 @@
 	}
 	account.lastReport = now
 	contrib := account.contributions[from.VM]
-	if contrib == nil || contrib.incarnation != from.Incarnation || contrib.generation < report.Life {
-		contrib = &contribution{incarnation: from.Incarnation, generation: report.Life, counter: report.Acknowledged}
+	if contrib == nil || contrib.incarnation != from.Incarnation || contrib.generation < report.Generation {
+		contrib = &contribution{incarnation: from.Incarnation, generation: report.Generation, counter: report.Acknowledged}
 		account.contributions[from.VM] = contrib
 		account.tag = max(account.tag, report.Base)
 	}
-	if report.Life == contrib.generation && report.Sequence > contrib.sequence {
+	if report.Generation == contrib.generation && report.Sequence > contrib.sequence {
 		account.tag += report.Weight.Normalise(report.Counter - contrib.counter)
 		contrib.sequence, contrib.counter = report.Sequence, report.Counter
 	}
--- a/core/berylshare/queue.go
+++ b/core/berylshare/queue.go
@@ -128,7 +128,7 @@
 // organisation with the most waiting requests per weight is displaced and returned, or
 // the new request is rejected with ErrFull if its own organisation would then have at
 // least as many per weight.
-func (queue *Queue) Push(request Waiting, weight berylspoke.Weight, limit int) (*Waiting, error) {
+func (queue *Queue) Push(request QueuedRequest, weight berylspoke.Weight, limit int) (*QueuedRequest, error) {
 	account := queue.account(request.Organisation, weight)
 	if limit == 0 {
 		limit = queue.options.MaxPerOrganisation
@@ -136,7 +136,7 @@
 	if limit > 0 && len(account.waiting) >= limit {
 		return nil, ErrOrganisationFull
 	}
-	var displaced *Waiting
+	var displaced *QueuedRequest
 	if queue.options.MaxWaiting > 0 && queue.waiting >= queue.options.MaxWaiting {
 		if displaced = queue.displace(account); displaced == nil {
 			return nil, ErrFull
@@ -158,7 +158,7 @@
 // displace removes and returns the newest request of the account with the most waiting
 // requests per weight. It returns nil if one more request would give the newcomer's
 // account at least as many.
-func (queue *Queue) displace(newcomer *account) *Waiting {
+func (queue *Queue) displace(newcomer *account) *QueuedRequest {
 	var longest *account
 	for _, account := range queue.backlog {
 		if longest == nil || account.waitingPerWeight(0) > longest.waitingPerWeight(0) ||
@@ -210,7 +210,7 @@
 	request := account.waiting[0]
 	account.waiting = account.waiting[1:]
 	queue.waiting--
-	started := &StartedRequest{Waiting: request, Tag: account.tag()}
+	started := &StartedRequest{QueuedRequest: request, Tag: account.tag()}
 	started.Reserved = account.estimator.estimate(request.Hint)
 	started.Charged = started.Reserved
 	account.running++
@@ -291,8 +291,8 @@
 }
 
 // Expire removes and returns the requests whose deadline has passed.
-func (queue *Queue) Expire(now time.Time) []Waiting {
-	var expired []Waiting
+func (queue *Queue) Expire(now time.Time) []QueuedRequest {
+	var expired []QueuedRequest
 	for _, account := range append(accountHeap(nil), queue.backlog...) {
 		kept := account.waiting[:0:0]
 		for _, request := range account.waiting {
--- a/core/berylshare/report.go
+++ b/core/berylshare/report.go
@@ -14,7 +14,7 @@
 type Report struct {
 	Service      berylspoke.ServiceID
 	Organisation berylspoke.OrganisationID
-	Life         uint32
+	Generation   uint32
 	Sequence     uint32
 	Weight       berylspoke.Weight
 	// Counter is the total that the process charged. Acknowledged is the part of it that
@@ -91,7 +91,7 @@
 	account.reportedAt = now
 	delete(queue.dirty, id)
 	return Report{
-		Service: service, Organisation: id, Life: account.generation, Sequence: account.sequence,
+		Service: service, Organisation: id, Generation: account.generation, Sequence: account.sequence,
 		Weight: account.weight, Counter: account.counter, Acknowledged: account.acknowledged,
 		Base: account.base, Floor: account.floor,
 	}
--- a/core/berylshare/share_test.go
+++ b/core/berylshare/share_test.go
@@ -35,7 +35,7 @@
 				weight, hint := 1, 10
 				step.MaybeScanArgs(t, "weight", &weight)
 				step.MaybeScanArgs(t, "hint", &hint)
-				displaced, err := queue.Push(Waiting{
+				displaced, err := queue.Push(QueuedRequest{
 					Request: berylspoke.RequestID(request), Organisation: berylspoke.OrganisationID(organisation),
 					Hint: berylspoke.Tokens(hint), Arrived: now, Deadline: now.Add(time.Minute),
 				}, berylspoke.Weight(weight), 0)
@@ -171,7 +171,7 @@
 	queue := NewQueue(scriptOptions())
 	queue.SetVirtualTime(5_000_000, true)
 	push := func(id berylspoke.OrganisationID) {
-		_, err := queue.Push(Waiting{Request: berylspoke.RequestID(id), Organisation: id, Hint: 1}, 1, 0)
+		_, err := queue.Push(QueuedRequest{Request: berylspoke.RequestID(id), Organisation: id, Hint: 1}, 1, 0)
 		require.NoError(t, err)
 	}
 	push("elsewhere")
@@ -189,13 +189,13 @@
 			queue := NewQueue(Options{Policy: FleetFair, CatchUp: 1 << 40, Lead: 1 << 40})
 			queue.SetVirtualTime(0, true)
 			for i := range count {
-				_, _ = queue.Push(Waiting{Organisation: berylspoke.OrganisationID(fmt.Sprint(i)), Hint: 100}, 1, 0)
+				_, _ = queue.Push(QueuedRequest{Organisation: berylspoke.OrganisationID(fmt.Sprint(i)), Hint: 100}, 1, 0)
 			}
 			b.ReportAllocs()
 			b.ResetTimer()
 			for range b.N {
 				started, _ := queue.Pop()
-				_, _ = queue.Push(started.Waiting, 1, 0)
+				_, _ = queue.Push(started.QueuedRequest, 1, 0)
 				queue.Progress(started, 150)
 				queue.Finish(started, 120)
 				_ = queue.Tags(8, 0)
@@ -216,7 +216,7 @@
 			b.ReportAllocs()
 			for i := range b.N {
 				ledger.Report(now, berylspoke.Process{VM: "a", Incarnation: 1}, Report{
-					Service: "model", Organisation: ids[i%count], Life: 1, Sequence: uint32(i), Weight: 1,
+					Service: "model", Organisation: ids[i%count], Generation: 1, Sequence: uint32(i), Weight: 1,
 					Counter: berylspoke.Tokens(i),
 				})
 			}
--- a/core/berylshare/waiting.go
+++ b/core/berylshare/waiting.go
@@ -8,8 +8,8 @@
 	"berylspoke"
 )
 
-// Waiting is a request that waits for a slot at a target.
-type Waiting struct {
+// QueuedRequest is a request that waits for a slot at a target.
+type QueuedRequest struct {
 	Request      berylspoke.RequestID
 	Organisation berylspoke.OrganisationID
 	// Hint is the expected cost, or zero if unknown.
@@ -24,7 +24,7 @@
 // estimated cost, Charged what the organisation was charged for it so far, and Tag the
 // organisation's tag at the start.
 type StartedRequest struct {
-	Waiting
+	QueuedRequest
 	Reserved berylspoke.Tokens
 	Charged  berylspoke.Tokens
 	Tag      berylspoke.Tag
--- a/io/berylpeer/peer_test.go
+++ b/io/berylpeer/peer_test.go
@@ -43,7 +43,7 @@
 			Grants: []berylslot.Grant{{Target: "pen-1", Slots: 2}},
 		},
 		berylshare.Reports{From: self, Reports: []berylshare.Report{{
-			Service: "pens", Organisation: "clergy", Life: 1, Sequence: 2, Weight: 4,
+			Service: "pens", Organisation: "clergy", Generation: 1, Sequence: 2, Weight: 4,
 			Counter: 900, Acknowledged: 800, Base: 225_000, Floor: 100_000,
 		}}},
 		berylshare.Totals{Totals: []berylshare.Total{{Service: "pens", Organisation: "clergy", Counter: 900, Tag: 250_000}}},
--- a/io/berylpeer/wire.go
+++ b/io/berylpeer/wire.go
@@ -226,7 +226,7 @@
 	for _, report := range reports.Reports {
 		wire.Reports = append(wire.Reports, wireShareReport{
 			Service: string(report.Service), Organisation: string(report.Organisation),
-			Generation: report.Life, Sequence: report.Sequence, Weight: int64(report.Weight),
+			Generation: report.Generation, Sequence: report.Sequence, Weight: int64(report.Weight),
 			Counter: int64(report.Counter), Acknowledged: int64(report.Counter - report.Acknowledged),
 			Base: int64(report.Base), Floor: int64(report.Base - report.Floor),
 		})
@@ -239,7 +239,7 @@
 	for _, report := range wire.Reports {
 		reports.Reports = append(reports.Reports, berylshare.Report{
 			Service: berylspoke.ServiceID(report.Service), Organisation: berylspoke.OrganisationID(report.Organisation),
-			Life: report.Generation, Sequence: report.Sequence, Weight: berylspoke.Weight(report.Weight),
+			Generation: report.Generation, Sequence: report.Sequence, Weight: berylspoke.Weight(report.Weight),
 			Counter: berylspoke.Tokens(report.Counter), Acknowledged: berylspoke.Tokens(report.Counter - report.Acknowledged),
 			Base: berylspoke.Tag(report.Base), Floor: berylspoke.Tag(report.Base - report.Floor),
 		})
--- a/io/berylserve/actor.go
+++ b/io/berylserve/actor.go
@@ -134,7 +134,7 @@
 	case finish:
 		runner.node.Finish(now, message.request, message.outcome)
 	case retry:
-		message.allowed <- runner.node.Retry(now)
+		message.allowed <- runner.node.AllowRetry(now)
 	case beginCall:
 		record, created := runner.node.BeginCall(now, message.id)
 		if record != nil {
@@ -150,8 +150,8 @@
 		addresses, ticket := runner.node.Resolve(message.organisation)
 		message.reply <- resolveReply{addresses, ticket}
 	case loadReported:
-		runner.node.Load(now, message.target, message.report)
-		runner.node.Compare(now, message.target, message.actual)
+		runner.node.HandleLoadReport(now, message.target, message.report)
+		runner.node.ReconcileEngine(now, message.target, message.actual)
 	case inspect:
 		message.visit(now, runner.node)
 		close(message.done)
@@ -173,7 +173,7 @@
 
 // applyEffects executes the effects that the node returned.
 func (runner *nodeActor) applyEffects() {
-	effects := runner.node.Take()
+	effects := runner.node.TakeEffects()
 	if self := runner.node.Self(); self != runner.daemon.process() {
 		runner.daemon.log.Warn("an earlier run on this VM has a higher incarnation; taking one above it", zap.Stringer("takes", self.Incarnation))
 		runner.daemon.incarnation.Store(uint64(self.Incarnation))
--- a/io/berylserve/attempt.go
+++ b/io/berylserve/attempt.go
@@ -32,7 +32,7 @@
 		decisions: make(chan decision, 1),
 		request: berylnode.Request{
 			Service: service, Call: call,
-			Waiting: berylshare.Waiting{
+			QueuedRequest: berylshare.QueuedRequest{
 				Request: id, Organisation: from.organisation, Hint: hint,
 				Prefix: berylroute.PrefixHash(prompt), Arrived: now,
 				Deadline: now.Add(berylsettings.Millis(daemon.settings.Callers.MaxWaitMillis)),
--- a/io/berylserve/daemon.go
+++ b/io/berylserve/daemon.go
@@ -172,12 +172,12 @@
 	if !sleep(ctx, drainNoticePeriod) {
 		return ctx.Err()
 	}
-	if err := daemon.inspect(ctx, func(_ time.Time, node *berylnode.Node) { node.Close() }); err != nil {
+	if err := daemon.inspect(ctx, func(_ time.Time, node *berylnode.Node) { node.StopAccepting() }); err != nil {
 		return err
 	}
 	for {
 		activeRequests := 0
-		if err := daemon.inspect(ctx, func(_ time.Time, node *berylnode.Node) { activeRequests = node.Busy() }); err != nil {
+		if err := daemon.inspect(ctx, func(_ time.Time, node *berylnode.Node) { activeRequests = node.ActiveRequests() }); err != nil {
 			return err
 		}
 		if activeRequests == 0 && daemon.activeCallers.Load() == 0 {
--- a/io/berylserve/watch.go
+++ b/io/berylserve/watch.go
@@ -58,7 +58,7 @@
 		var number berylspoke.PatchNumber
 		watches := false
 		err := daemon.inspect(daemon.ctx, func(now time.Time, node *berylnode.Node) {
-			number, watches = node.Config().Number, node.Watches(now)
+			number, watches = node.Config().Number, node.WatchesPlatform(now)
 		})
 		if err != nil {
 			return
@@ -86,7 +86,7 @@
 	interval := berylsettings.Millis(daemon.settings.Targets.LoadMillis)
 	for sleep(daemon.ctx, interval) {
 		var leased []berylspoke.TargetID
-		if daemon.inspect(daemon.ctx, func(_ time.Time, node *berylnode.Node) { leased = node.Kept() }) != nil {
+		if daemon.inspect(daemon.ctx, func(_ time.Time, node *berylnode.Node) { leased = node.LeasedTargets() }) != nil {
 			return
 		}
 		var group sync.WaitGroup
--- a/io/berylsettings/settings.go
+++ b/io/berylsettings/settings.go
@@ -98,7 +98,7 @@
 		Regions: Regions{
 			CrossAfterMillis:    int(node.CrossAfter.Milliseconds()),
 			CrossMarginTokens:   berylspoke.Tokens(node.CrossMargin / berylspoke.TagScale),
-			CrossBytesPerSecond: int(node.CrossBytes),
+			CrossBytesPerSecond: int(node.CrossBytesPerSecond),
 		},
 		Targets: Targets{FirstTokenMillis: 2_000, ProgressMillis: 1_000, CallMillis: 20_000, LoadMillis: 2_000, TokenIntervalMillis: 30},
 	}
@@ -211,13 +211,13 @@
 	options.Policy = settings.Policy
 	options.Queue.CatchUp = berylspoke.Weight(1).Normalise(settings.Fairness.CatchUpTokens)
 	options.Queue.Lead = berylspoke.Weight(1).Normalise(settings.Fairness.LeadTokens)
-	options.Keeper.Slack = berylspoke.Weight(1).Normalise(settings.Fairness.SlackTokens)
-	options.Keeper.Limiter.TokenInterval = Millis(settings.Targets.TokenIntervalMillis)
+	options.Lessor.Slack = berylspoke.Weight(1).Normalise(settings.Fairness.SlackTokens)
+	options.Lessor.Limiter.TokenInterval = Millis(settings.Targets.TokenIntervalMillis)
 	options.Quantum = settings.Fairness.QuantumTokens
 	options.ReportEvery = Millis(settings.Fairness.ReportIntervalMillis)
 	options.CrossAfter = Millis(settings.Regions.CrossAfterMillis)
 	options.CrossMargin = berylspoke.Weight(1).Normalise(settings.Regions.CrossMarginTokens)
-	options.CrossBytes = float64(settings.Regions.CrossBytesPerSecond)
+	options.CrossBytesPerSecond = float64(settings.Regions.CrossBytesPerSecond)
 	return options
 }
 
