--- a/cmd/berylspoke/edge.go
+++ b/cmd/berylspoke/edge.go
@@ -70,14 +70,14 @@
 	}
 	settings.FleetKey = command.fleetKey
 	if command.metrics != "" {
-		settings.Metrics = settings.VM.Host() + ":" + command.metrics
+		settings.MetricsAddress = settings.VM.Host() + ":" + command.metrics
 	}
 	debug.SetMemoryLimit(int64(memoryLimitFraction * float64(settings.MemoryBytes)))
 	log := beryllog.New(os.Stdout, level.Level())
 	defer func() { _ = log.Sync() }()
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt, syscall.SIGHUP)
-	store := berylbinding.NewStore(settings.Store)
+	store := berylbinding.NewStore(settings.StoreAddress)
 	daemon, err := beryledge.Start(settings, berylbinding.Dialect{}, store, berylbinding.Endpoints, log)
 	if err != nil {
 		return fail(err)
--- a/io/beryledge/cpupressure.go
+++ b/io/beryledge/cpupressure.go
@@ -70,7 +70,7 @@
 		daemon.log.Warn("address withdrawn from callers, CPU pressure is high", zap.Int("othersNear", core.announcedInDomain()))
 	case withdrawn:
 		core.withdrawnUntil = time.Time{}
-		core.table.Announce(daemon.settings.Callers, daemon.settings.Capacity)
+		core.table.Announce(daemon.settings.CallersAddress, daemon.settings.Capacity)
 		daemon.log.Info("address announced to callers again")
 	}
 }
--- a/io/beryledge/daemon.go
+++ b/io/beryledge/daemon.go
@@ -108,7 +108,7 @@
 	go daemon.followStore(berylfeed.Configuration, configuration)
 	go daemon.followStore(berylfeed.Targets, targets)
 	daemon.log.Info("daemon started", zap.Uint64("incarnation", uint64(daemon.incarnation)),
-		zap.String("callers", settings.Callers), zap.String("peers", string(settings.VM)))
+		zap.String("callers", settings.CallersAddress), zap.String("peers", string(settings.VM)))
 	return daemon, nil
 }
 
@@ -132,15 +132,15 @@
 		return err
 	}
 	daemon.transport = transport
-	daemon.callerServer, err = daemon.serve(daemon.settings.Callers, http.HandlerFunc(daemon.serveCaller), true)
+	daemon.callerServer, err = daemon.serve(daemon.settings.CallersAddress, http.HandlerFunc(daemon.serveCaller), true)
 	if err != nil {
 		return err
 	}
 	for address, handler := range map[string]http.Handler{
-		daemon.settings.Ready:     endpoints.Ready,
-		daemon.settings.Resolve:   endpoints.Resolve,
-		daemon.settings.Operators: daemon.operators(),
-		daemon.settings.Metrics:   daemon.operators(),
+		daemon.settings.ReadyAddress:     endpoints.Ready,
+		daemon.settings.ResolveAddress:   endpoints.Resolve,
+		daemon.settings.OperatorsAddress: daemon.operators(),
+		daemon.settings.MetricsAddress:   daemon.operators(),
 	} {
 		if address == "" {
 			continue
--- a/io/beryledge/daemon_test.go
+++ b/io/beryledge/daemon_test.go
@@ -264,7 +264,7 @@
 	})
 	daemon, _ := startServing(t, map[string]*testTarget{"engines": target})
 	ctx, cancel := context.WithCancel(context.Background())
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+daemon.settings.Callers+"/draft/x", strings.NewReader("prompt"))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+daemon.settings.CallersAddress+"/draft/x", strings.NewReader("prompt"))
 	require.NoError(t, err)
 	request.Host = "h.example"
 	request.Header = http.Header{"X-Id": {"id-1"}, "X-Key": {"k"}, "X-Left": {"9000"}}
--- a/io/beryledge/entries.go
+++ b/io/beryledge/entries.go
@@ -64,10 +64,10 @@
 	return smallest
 }
 
-// Entries returns the addresses for a caller in a failure domain: those of the same
+// EntryAddresses returns the addresses for a caller in a failure domain: those of the same
 // domain, else of its region, else all. Traffic between domains is paid for, and callers
 // stop using an address that fails.
-func (daemon *Daemon) Entries(domain berylspoke.FailureDomain) []string {
+func (daemon *Daemon) EntryAddresses(domain berylspoke.FailureDomain) []string {
 	entries := daemon.entries.Load()
 	if sameDomain := entries.byDomain[domain]; len(sameDomain) > 0 {
 		return limit(sameDomain)
--- a/io/beryledge/fakes_test.go
+++ b/io/beryledge/fakes_test.go
@@ -264,9 +264,9 @@
 	settings := &Settings{
 		Name: t.Name(), VM: berylspoke.VMID(host + ":7001"),
 		FailureDomain: "a", Region: "r", RegionOf: map[berylspoke.FailureDomain]berylspoke.Region{"a": "r"},
-		Seeds: seeds, Callers: host + ":7002", Ready: host + ":7003", Resolve: host + ":7004",
-		Operators: host + ":7005", Descriptors: 1000, Capacity: 19, StopWithin: 8 * time.Second,
-		RetryRatio: 1, RetrySlack: 1000, Store: "127.0.0.1:1", FleetKey: "a key of the tests only",
+		Seeds: seeds, CallersAddress: host + ":7002", ReadyAddress: host + ":7003", ResolveAddress: host + ":7004",
+		OperatorsAddress: host + ":7005", MaxDescriptors: 1000, Capacity: 19, StopTimeout: 8 * time.Second,
+		RetryRatio: 1, RetrySlack: 1000, StoreAddress: "127.0.0.1:1", FleetKey: "a key of the tests only",
 	}
 	require.NoError(t, settings.Check())
 	endpoints := func(*Daemon) Endpoints {
@@ -314,7 +314,7 @@
 
 // send sends one request and returns the answer and its body.
 func send(t *testing.T, daemon *Daemon, method, path, id, body string) (*http.Response, string, error) {
-	request, err := http.NewRequest(method, "http://"+daemon.settings.Callers+path, strings.NewReader(body))
+	request, err := http.NewRequest(method, "http://"+daemon.settings.CallersAddress+path, strings.NewReader(body))
 	require.NoError(t, err)
 	request.Host = "h.example"
 	request.Header.Set("X-Id", id)
--- a/io/beryledge/feeds.go
+++ b/io/beryledge/feeds.go
@@ -146,6 +146,6 @@
 		return
 	}
 	daemon.ready.Store(true)
-	core.table.Announce(daemon.settings.Callers, daemon.settings.Capacity)
+	core.table.Announce(daemon.settings.CallersAddress, daemon.settings.Capacity)
 	daemon.log.Info("ready for callers")
 }
--- a/io/beryledge/idle.go
+++ b/io/beryledge/idle.go
@@ -76,5 +76,5 @@
 
 // tooManyConns reports whether callers' connections use too many descriptors.
 func (daemon *Daemon) tooManyConns() bool {
-	return float64(daemon.idle.open.Load()) > maxConnFraction*float64(daemon.settings.Descriptors)
+	return float64(daemon.idle.open.Load()) > maxConnFraction*float64(daemon.settings.MaxDescriptors)
 }
--- a/io/beryledge/overload_test.go
+++ b/io/beryledge/overload_test.go
@@ -87,7 +87,7 @@
 	target := newTestTarget(t, "d1", sealed(http.StatusOK, "done"))
 	daemon, _ := startServingWith(t, map[string]*testTarget{"desk": target}, costlyDialect{testDialect{testCatalog()}, cpu})
 	go cpu.contend(daemon)
-	run := &overloadRun{address: daemon.settings.Callers}
+	run := &overloadRun{address: daemon.settings.CallersAddress}
 	defer run.closePartial()
 	for number, phase := range script.Phases {
 		cpu.cost.Store(phase.CostMillis * int64(time.Millisecond))
--- a/io/beryledge/rejection_test.go
+++ b/io/beryledge/rejection_test.go
@@ -79,19 +79,19 @@
 	time.Sleep(3 * tickInterval)
 	makeOverloaded(daemon)
 	// The listener may be blocked in an accept that bypasses the admission queue.
-	_, _ = sendRaw(daemon.settings.Callers, "", "first")
+	_, _ = sendRaw(daemon.settings.CallersAddress, "", "first")
 	time.Sleep(2 * tickInterval)
 	parsed.Store(0)
 	for i := range 20 {
 		makeOverloaded(daemon)
-		status, retryAfter := sendRawTo(daemon.settings.Callers, "/draft/x", "u", fmt.Sprint("u-", i))
+		status, retryAfter := sendRawTo(daemon.settings.CallersAddress, "/draft/x", "u", fmt.Sprint("u-", i))
 		require.Equal(t, http.StatusServiceUnavailable, status)
 		require.NotEmpty(t, retryAfter)
 	}
 	require.Zero(t, parsed.Load())
 	require.Zero(t, target.seen.Load())
 	makeOverloaded(daemon)
-	status, _ := sendRawTo(daemon.settings.Callers, "/draft/x", "k", "k-1")
+	status, _ := sendRawTo(daemon.settings.CallersAddress, "/draft/x", "k", "k-1")
 	require.Equal(t, http.StatusOK, status, "others are served")
 }
 
@@ -136,7 +136,7 @@
 	}
 	free()
 	for key, closes := range map[string]bool{"k": true, "u": false} {
-		request, err := http.NewRequest(http.MethodPost, "http://"+daemon.settings.Callers+"/file/x", nil)
+		request, err := http.NewRequest(http.MethodPost, "http://"+daemon.settings.CallersAddress+"/file/x", nil)
 		require.NoError(t, err)
 		request.Host = "h.example"
 		request.Header = http.Header{"X-Id": {"id-" + key}, "X-Key": {key}, "X-Left": {"4000"}}
--- a/io/beryledge/settings.go
+++ b/io/beryledge/settings.go
@@ -25,22 +25,22 @@
 	Seeds []berylspoke.VMID
 	// FirstStart is set when the whole fleet starts for the first time.
 	FirstStart bool
-	// Callers, Ready, Resolve, Operators and Metrics are the listen addresses for
-	// callers' requests, the platform's readiness checks, callers' requests for the
-	// addresses to connect to, the state dump, and the metrics.
-	Callers, Ready, Resolve, Operators, Metrics string
-	// MemoryBytes and Descriptors bound the process.
-	MemoryBytes int64
-	Descriptors int
+	// CallersAddress, ReadyAddress, ResolveAddress, OperatorsAddress and MetricsAddress are
+	// the listen addresses for callers' requests, the platform's readiness checks, callers'
+	// requests for the addresses to connect to, the state dump, and the metrics.
+	CallersAddress, ReadyAddress, ResolveAddress, OperatorsAddress, MetricsAddress string
+	// MemoryBytes and MaxDescriptors bound the process.
+	MemoryBytes    int64
+	MaxDescriptors int
 	// Capacity is the processor time of the VM in hundredths of a core.
 	Capacity uint16
-	// StopWithin is the time after which a process that was asked to stop is
+	// StopTimeout is the time after which a process that was asked to stop is
 	// killed by the platform.
-	StopWithin time.Duration
+	StopTimeout time.Duration
 	// RetryRatio and RetrySlack bound the retries of requests over the whole fleet.
 	RetryRatio, RetrySlack float64
-	// Store is the address of the platform's store.
-	Store string
+	// StoreAddress is the address of the platform's store.
+	StoreAddress string
 	// FleetKey is the shared key with which daemons authenticate to each other.
 	FleetKey string
 }
@@ -48,9 +48,9 @@
 // Check returns an error that names the first invalid setting.
 func (settings *Settings) Check() error {
 	addresses := []struct{ name, value string }{
-		{"callers' address", settings.Callers}, {"ready address", settings.Ready},
-		{"resolve address", settings.Resolve}, {"operators' address", settings.Operators},
-		{"store address", settings.Store}, {"peer address", string(settings.VM)},
+		{"callers' address", settings.CallersAddress}, {"ready address", settings.ReadyAddress},
+		{"resolve address", settings.ResolveAddress}, {"operators' address", settings.OperatorsAddress},
+		{"store address", settings.StoreAddress}, {"peer address", string(settings.VM)},
 	}
 	for _, address := range addresses {
 		if _, _, err := net.SplitHostPort(address.value); err != nil {
@@ -60,7 +60,7 @@
 	if settings.FailureDomain == "" {
 		return errors.New("failure domain is not set")
 	}
-	if settings.StopWithin <= 0 {
+	if settings.StopTimeout <= 0 {
 		return errors.New("time to stop within is not positive")
 	}
 	if settings.RetryRatio < 0 || settings.RetrySlack < 0 {
--- a/io/beryledge/stop.go
+++ b/io/beryledge/stop.go
@@ -44,7 +44,7 @@
 		core.table.Leave(now)
 		core.tick(now)
 	})
-	deadline := started.Add(daemon.settings.StopWithin - stopReserve)
+	deadline := started.Add(daemon.settings.StopTimeout - stopReserve)
 	for time.Now().Before(deadline) && !daemon.quiet(started) {
 		time.Sleep(stopPollInterval)
 	}
@@ -79,7 +79,7 @@
 func (daemon *Daemon) Reload(settings *Settings) {
 	daemon.inspectCore(func(now time.Time, core *core) {
 		daemon.settings.Seeds = settings.Seeds
-		daemon.settings.StopWithin = settings.StopWithin
+		daemon.settings.StopTimeout = settings.StopTimeout
 		core.table.Join(now, settings.Seeds)
 	})
 	daemon.log.Info("settings reloaded", zap.Int("seeds", len(settings.Seeds)))
