--- a/cmd/berylspoke/callers_test.go
+++ b/cmd/berylspoke/callers_test.go
@@ -34,7 +34,7 @@
 // Guards against a sender that holds a connection forever by sending the body of a
 // draft slowly: after the read timeout the request is rejected as not run.
 func TestSlowSenderIsRefused(t *testing.T) {
-	fleet := startProcesses(t, smallPlan(), func(settings *berylsettings.Settings) { settings.Callers.ReadMillis = 500 })
+	fleet := startProcesses(t, smallPlan(), func(settings *berylsettings.Settings) { settings.Callers.ReadTimeoutMillis = 500 })
 	entry := fleet.Plan.VMs()[0].ID
 	conn, err := net.Dial("tcp", fleet.settings[entry].CallAddress)
 	require.NoError(t, err)
--- a/io/berylconn/exchange.go
+++ b/io/berylconn/exchange.go
@@ -11,28 +11,28 @@
 	"github.com/pkg/errors"
 )
 
-// Failure is the error of a request, with whether the target may have received it.
-type Failure struct {
+// SendError is the error of a request, with whether the target may have received it.
+type SendError struct {
 	// Unsent is set if no byte of the request can have reached the target.
 	Unsent bool
 	Cause  error
 }
 
 // Error returns the message of the cause.
-func (failure *Failure) Error() string { return failure.Cause.Error() }
+func (err *SendError) Error() string { return err.Cause.Error() }
 
 // Unwrap returns the cause.
-func (failure *Failure) Unwrap() error { return failure.Cause }
+func (err *SendError) Unwrap() error { return err.Cause }
 
 // Exchange is a request that was sent and whose response is being read.
 type Exchange struct {
 	Response *http.Response
-	// Opened is the time that dialling took, zero for a pooled connection.
-	Opened  time.Duration
-	pool    *Pool
-	conn    *conn
-	written chan error
-	stop    func() bool
+	// DialTime is the time that dialling took, zero for a pooled connection.
+	DialTime time.Duration
+	pool     *Pool
+	conn     *conn
+	written  chan error
+	stop     func() bool
 	// skipped is set when responses to other requests were skipped.
 	skipped bool
 }
@@ -49,48 +49,48 @@
 	maxInlineBody = 2048
 )
 
-// Order describes one request to one target.
-type Order struct {
+// SendOptions describes one request to one target.
+type SendOptions struct {
 	Address string
-	// Most bounds the open connections to the target.
-	Most    int
-	Request *http.Request
-	// Wanted reports whether the request is still to be sent. It is called once there
+	// MaxConnections bounds the open connections to the target.
+	MaxConnections int
+	Request        *http.Request
+	// StillWanted reports whether the request is still to be sent. It is called once there
 	// is a connection, since dialling may take long.
-	Wanted func() bool
-	// Mine reports whether a response belongs to the request. Others are skipped: a
+	StillWanted func() bool
+	// Matches reports whether a response belongs to the request. Others are skipped: a
 	// target may send a response twice, and the duplicate arrives in place of the
 	// next response.
-	Mine func(*http.Response) bool
+	Matches func(*http.Response) bool
 }
 
-// ErrUnwanted means that a request was no longer wanted when there was a connection.
-var ErrUnwanted = errors.New("request is no longer wanted")
+// ErrNoLongerWanted means that a request was no longer wanted when there was a connection.
+var ErrNoLongerWanted = errors.New("request is no longer wanted")
 
 // Send sends a request and returns once the header of its response was read. Ending
 // the context aborts the exchange at any time by closing the connection.
-func (pool *Pool) Send(ctx context.Context, order Order) (*Exchange, error) {
+func (pool *Pool) Send(ctx context.Context, options SendOptions) (*Exchange, error) {
 	now := time.Now()
-	pooled, err := pool.take(now, order.Address, order.Most)
+	pooled, err := pool.take(now, options.Address, options.MaxConnections)
 	if err != nil {
-		return nil, &Failure{Unsent: true, Cause: err}
+		return nil, &SendError{Unsent: true, Cause: err}
 	}
 	exchange := &Exchange{pool: pool, conn: pooled, written: make(chan error, 1)}
 	if pooled == nil {
-		if exchange.conn, err = pool.dial(ctx, order.Address); err != nil {
-			return nil, &Failure{Unsent: true, Cause: errors.Wrap(err, "connection to target cannot be opened")}
+		if exchange.conn, err = pool.dial(ctx, options.Address); err != nil {
+			return nil, &SendError{Unsent: true, Cause: errors.Wrap(err, "connection to target cannot be opened")}
 		}
-		exchange.Opened = time.Since(now)
+		exchange.DialTime = time.Since(now)
 	}
-	if !order.Wanted() {
+	if !options.StillWanted() {
 		pool.put(now, exchange.conn)
-		return nil, &Failure{Unsent: true, Cause: ErrUnwanted}
+		return nil, &SendError{Unsent: true, Cause: ErrNoLongerWanted}
 	}
 	exchange.stop = context.AfterFunc(ctx, func() { _ = exchange.conn.Close() })
-	exchange.write(order.Request)
-	if err := exchange.readHeader(order.Request, order.Mine); err != nil {
+	exchange.write(options.Request)
+	if err := exchange.readHeader(options.Request, options.Matches); err != nil {
 		exchange.Discard()
-		return nil, &Failure{Cause: err}
+		return nil, &SendError{Cause: err}
 	}
 	return exchange, nil
 }
@@ -128,9 +128,9 @@
 // Buffered returns the number of bytes that can be read without blocking.
 func (exchange *Exchange) Buffered() int { return exchange.conn.reader.Buffered() }
 
-// Done ends an exchange whose response was read completely. It returns the connection
+// Release ends an exchange whose response was read completely. It returns the connection
 // to the pool if the next response on it can only be that to the next request.
-func (exchange *Exchange) Done() {
+func (exchange *Exchange) Release() {
 	complete := false
 	select {
 	case err := <-exchange.written:
--- a/io/berylconn/pool.go
+++ b/io/berylconn/pool.go
@@ -67,8 +67,8 @@
 	return &Pool{idle: make(map[string][]*conn), open: make(map[string]int)}
 }
 
-// Opened returns the number of dials since the start, including failed ones.
-func (pool *Pool) Opened() uint64 {
+// DialCount returns the number of dials since the start, including failed ones.
+func (pool *Pool) DialCount() uint64 {
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
 	return pool.dials
@@ -128,8 +128,8 @@
 	}
 }
 
-// Sweep closes the connections whose idle timeout has expired.
-func (pool *Pool) Sweep(now time.Time) {
+// CloseExpired closes the connections whose idle timeout has expired.
+func (pool *Pool) CloseExpired(now time.Time) {
 	pool.mutex.Lock()
 	var expired []*conn
 	for address, idle := range pool.idle {
--- a/io/beryledge/actor.go
+++ b/io/beryledge/actor.go
@@ -303,7 +303,7 @@
 		case <-ticker.C:
 			daemon.send(tick{})
 		case now := <-sweeper.C:
-			daemon.pool.Sweep(now)
+			daemon.pool.CloseExpired(now)
 			daemon.sweepIdle(now)
 		}
 	}
--- a/io/beryledge/attempt.go
+++ b/io/beryledge/attempt.go
@@ -53,15 +53,15 @@
 	call.sent = time.Now()
 	request := call.outgoing(decision)
 	call.slot.release()
-	exchange, err := call.daemon.pool.Send(ctx, berylconn.Order{
-		Address: target.Address, Most: decision.Connections, Request: request,
-		Wanted: func() bool { return call.stillWanted(target) }, Mine: call.answersRequest,
+	exchange, err := call.daemon.pool.Send(ctx, berylconn.SendOptions{
+		Address: target.Address, MaxConnections: decision.Connections, Request: request,
+		StillWanted: func() bool { return call.stillWanted(target) }, Matches: call.answersRequest,
 	})
 	if err != nil {
 		return call.sendFailed(decision, withTimeoutCause(ctx, err))
 	}
-	if exchange.Opened > 0 {
-		call.daemon.send(connectTimed{target.ID, exchange.Opened})
+	if exchange.DialTime > 0 {
+		call.daemon.send(connectTimed{target.ID, exchange.DialTime})
 	}
 	info := call.daemon.dialect.ParseResponse(exchange.Response.StatusCode, exchange.Response.Header)
 	if info.NotRun {
@@ -107,10 +107,10 @@
 
 // sendFailed handles an attempt that got no answer.
 func (call *call) sendFailed(decision berylgate.Decision, err error) bool {
-	var failure *berylconn.Failure
-	unsent := errors.As(err, &failure) && failure.Unsent
+	var sendErr *berylconn.SendError
+	unsent := errors.As(err, &sendErr) && sendErr.Unsent
 	switch {
-	case errors.Is(err, berylconn.ErrUnwanted):
+	case errors.Is(err, berylconn.ErrNoLongerWanted):
 		call.endAttempt(decision, berylgate.NoConnection, err)
 		if callerDisconnected(call.incoming.Context()) {
 			call.disconnected()
@@ -220,7 +220,7 @@
 		exchange.Discard()
 		return
 	}
-	exchange.Done()
+	exchange.Release()
 }
 
 // forwardAnswer forwards an answer once it is complete, so that a truncated one never
@@ -236,7 +236,7 @@
 		exchange.Discard()
 		return call.answerFailed(decision, err)
 	}
-	exchange.Done()
+	exchange.Release()
 	call.mayHaveRun = true
 	if response.StatusCode >= http.StatusInternalServerError {
 		call.endAttempt(decision, berylgate.TargetFailed, nil)
--- a/io/beryledge/daemon_test.go
+++ b/io/beryledge/daemon_test.go
@@ -370,12 +370,12 @@
 // closed after the first-byte timeout.
 func TestFirstByteTimeoutIsNamedAsCause(t *testing.T) {
 	ctx, cancel := context.WithCancelCause(context.Background())
-	failure := &berylconn.Failure{Unsent: true, Cause: net.ErrClosed}
+	failure := &berylconn.SendError{Unsent: true, Cause: net.ErrClosed}
 	require.Equal(t, error(failure), withTimeoutCause(ctx, failure))
 	cancel(errFirstByteTimeout)
 	named := withTimeoutCause(ctx, failure)
 	require.ErrorContains(t, named, errFirstByteTimeout.Error())
-	var kept *berylconn.Failure
+	var kept *berylconn.SendError
 	require.ErrorAs(t, named, &kept, "the error no longer tells whether the request was sent")
 	require.True(t, kept.Unsent)
 }
--- a/io/beryledge/members.go
+++ b/io/beryledge/members.go
@@ -55,7 +55,7 @@
 	}
 	core.daemon.entries.Store(fresh)
 	if core.daemon.transport != nil {
-		core.daemon.transport.Relink()
+		core.daemon.transport.UpdateLinks()
 	}
 	for _, feed := range core.feeds {
 		// If all watchers are cut off, the others read the store after this time.
--- a/io/beryledge/meters.go
+++ b/io/beryledge/meters.go
@@ -48,7 +48,7 @@
 	}
 	set.NewGauge("berylspoke_strain_seconds", func() float64 { return daemon.pressure.delay().Seconds() })
 	set.NewGauge("berylspoke_requests_active", func() float64 { return float64(daemon.active.Load()) })
-	set.NewGauge("berylspoke_connections_opened_total", func() float64 { return float64(daemon.pool.Opened()) })
+	set.NewGauge("berylspoke_connections_opened_total", func() float64 { return float64(daemon.pool.DialCount()) })
 	meters.addPeerMetrics(daemon)
 	return meters
 }
@@ -70,7 +70,7 @@
 	}
 	for _, message := range []string{"heartbeat", "report", "usage", "pull", "delta"} {
 		meters.set.NewGauge(fmt.Sprintf("berylspoke_peer_message_bytes_total{message=%q}", message),
-			traffic(func(traffic *berylpeer.Traffic) uint64 { return traffic.Kinds()[message].Bytes }))
+			traffic(func(traffic *berylpeer.Traffic) uint64 { return traffic.SentByKind()[message].Bytes }))
 	}
 }
 
--- a/io/beryledge/stream.go
+++ b/io/beryledge/stream.go
@@ -54,7 +54,7 @@
 		exchange.Discard()
 		return call.answerFailed(decision, err)
 	}
-	exchange.Done()
+	exchange.Release()
 	if !call.stream.started {
 		call.startStream(exchange.Response)
 	}
--- a/io/berylpeer/count.go
+++ b/io/berylpeer/count.go
@@ -39,14 +39,14 @@
 	messages, messageBytes  [kindsEnd]atomic.Uint64
 }
 
-// SentKind is the number of messages sent of one kind and their size without headers.
-type SentKind struct{ Messages, Bytes uint64 }
+// KindStats is the number of messages sent of one kind and their size without headers.
+type KindStats struct{ Messages, Bytes uint64 }
 
-// Kinds returns the messages sent, by the metric label of their kind.
-func (traffic *Traffic) Kinds() map[string]SentKind {
-	kinds := make(map[string]SentKind, len(kindNames))
+// SentByKind returns the messages sent, by the metric label of their kind.
+func (traffic *Traffic) SentByKind() map[string]KindStats {
+	kinds := make(map[string]KindStats, len(kindNames))
 	for kind, name := range kindNames {
-		kinds[name] = SentKind{traffic.messages[kind].Load(), traffic.messageBytes[kind].Load()}
+		kinds[name] = KindStats{traffic.messages[kind].Load(), traffic.messageBytes[kind].Load()}
 	}
 	return kinds
 }
--- a/io/berylpeer/transport.go
+++ b/io/berylpeer/transport.go
@@ -136,8 +136,8 @@
 // Traffic returns the byte counters.
 func (transport *Transport) Traffic() *Traffic { return &transport.traffic }
 
-// Relink refreshes the links of the open connections from the locator.
-func (transport *Transport) Relink() {
+// UpdateLinks refreshes the links of the open connections from the locator.
+func (transport *Transport) UpdateLinks() {
 	transport.mutex.Lock()
 	defer transport.mutex.Unlock()
 	for vm, peer := range transport.peers {
--- a/io/berylserve/actor.go
+++ b/io/berylserve/actor.go
@@ -237,7 +237,7 @@
 func (runner *nodeActor) refreshMembers() {
 	daemon := runner.daemon
 	daemon.members.Store(newMemberIndex(daemon.settings, runner.vms, daemon.Declarations()))
-	daemon.transport.Relink()
+	daemon.transport.UpdateLinks()
 }
 
 // send puts a message into the mailbox of the actor.
--- a/io/berylserve/callers.go
+++ b/io/berylserve/callers.go
@@ -58,7 +58,7 @@
 	listener = netutil.LimitListener(listener, daemon.settings.Callers.MaxConnections)
 	server := &http.Server{
 		Handler:           daemon.callerRoutes(),
-		ReadHeaderTimeout: berylsettings.Millis(daemon.settings.Callers.ReadMillis),
+		ReadHeaderTimeout: berylsettings.Millis(daemon.settings.Callers.ReadTimeoutMillis),
 		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    daemon.settings.Callers.MaxHeaderBytes,
 	}
@@ -100,7 +100,7 @@
 		}
 		// Without a deadline, a caller that sends its body slowly holds a connection
 		// without end.
-		deadline := time.Now().Add(berylsettings.Millis(daemon.settings.Callers.ReadMillis))
+		deadline := time.Now().Add(berylsettings.Millis(daemon.settings.Callers.ReadTimeoutMillis))
 		_ = http.NewResponseController(writer).SetReadDeadline(deadline)
 		request.Body = http.MaxBytesReader(writer, request.Body, daemon.settings.Callers.MaxBodyBytes)
 		serve(writer, request, caller{organisation})
@@ -191,7 +191,7 @@
 	case found := <-reply:
 		writer.Header().Set("Content-Type", "application/json")
 		_ = json.NewEncoder(writer).Encode(wireResolve{
-			Addresses: found.addresses, KeepMs: daemon.settings.Callers.KeepMillis,
+			Addresses: found.addresses, KeepMs: daemon.settings.Callers.AddressTTLMillis,
 			Ticket: daemon.sealer.Format(from.organisation, found.ticket),
 			Owner:  daemon.settings.CallAddress, Calls: maxCallsPerTicket,
 		})
--- a/io/berylserve/daemon.go
+++ b/io/berylserve/daemon.go
@@ -79,7 +79,7 @@
 		settings: settings,
 		log:      log.With(zap.String("vm", string(settings.VM)), zap.Stringer("incarnation", incarnation)),
 		platform: berylplatform.NewClient(settings.Platform),
-		sealer:   berylticket.NewSealer(settings.Keys()[0]),
+		sealer:   berylticket.NewSealer(settings.DecodedKeys()[0]),
 		metrics:  metrics.NewSet(),
 		drained:  make(chan struct{}),
 	}
@@ -88,9 +88,9 @@
 	daemon.members.Store(newMemberIndex(settings, nil, daemon.Declarations()))
 	daemon.ctx, daemon.cancel = context.WithCancel(context.Background())
 	daemon.targets = beryltarget.NewClient(beryltarget.Options{
-		FirstTokenTimeout: berylsettings.Millis(settings.Targets.FirstTokenMillis),
-		ProgressTimeout:   berylsettings.Millis(settings.Targets.ProgressMillis),
-		CallTimeout:       berylsettings.Millis(settings.Targets.CallMillis),
+		FirstTokenTimeout: berylsettings.Millis(settings.Targets.FirstTokenTimeoutMillis),
+		ProgressTimeout:   berylsettings.Millis(settings.Targets.ProgressTimeoutMillis),
+		CallTimeout:       berylsettings.Millis(settings.Targets.CallTimeoutMillis),
 	}, daemon)
 	daemon.startActor(now, incarnation)
 	if err := daemon.listen(); err != nil {
@@ -111,7 +111,7 @@
 	daemon.system = actor.NewActorSystem(actor.WithLoggerFactory(func(*actor.ActorSystem) *slog.Logger {
 		return slog.New(slog.DiscardHandler)
 	}))
-	node := berylnode.New(now, daemon.settings.Node(incarnation), uint64(incarnation))
+	node := berylnode.New(now, daemon.settings.NodeOptions(incarnation), uint64(incarnation))
 	daemon.actorPID = daemon.system.Root.Spawn(actor.PropsFromProducer(func() actor.Actor {
 		return &nodeActor{
 			daemon: daemon, node: node,
@@ -125,7 +125,7 @@
 // the mailbox of the actor.
 func (daemon *Daemon) listen() error {
 	transport, err := berylpeer.Listen(berylpeer.Options{
-		VM: daemon.settings.VM, Address: daemon.settings.PeerAddress, Keys: daemon.settings.Keys(),
+		VM: daemon.settings.VM, Address: daemon.settings.PeerAddress, Keys: daemon.settings.DecodedKeys(),
 		Locator: daemon, Log: daemon.log,
 		Handler: func(from berylspoke.VMID, messages []berylspoke.Message) { daemon.send(fromPeer{from, messages}) },
 	})
--- a/io/berylserve/metrics.go
+++ b/io/berylserve/metrics.go
@@ -48,9 +48,9 @@
 		gauge(`berylspoke_packets_total{link=%q}`, func() float64 { return float64(traffic.Packets[link].Load()) })
 		gauge(`berylspoke_bytes_total{kind="data",direction="both",link=%q}`, func() float64 { return float64(daemon.dataTraffic.bytes[link].Load()) })
 	}
-	for name := range daemon.transport.Traffic().Kinds() {
+	for name := range daemon.transport.Traffic().SentByKind() {
 		daemon.metrics.NewGauge(fmt.Sprintf("berylspoke_messages_sent_total{kind=%q}", name), func() float64 {
-			return float64(daemon.transport.Traffic().Kinds()[name].Messages)
+			return float64(daemon.transport.Traffic().SentByKind()[name].Messages)
 		})
 	}
 	daemon.metrics.NewGauge("berylspoke_peer_connections", func() float64 { return float64(daemon.transport.Connections()) })
--- a/io/berylserve/operators.go
+++ b/io/berylserve/operators.go
@@ -45,12 +45,12 @@
 // Dump is the state of a daemon with its traffic counters, as operators read it.
 type Dump struct {
 	berylnode.State
-	Connections int                           `json:"peerConnections"`
-	Control     map[string]uint64             `json:"controlBytesSent"`
-	Packets     uint64                        `json:"controlPacketsSent"`
-	Messages    map[string]berylpeer.SentKind `json:"messagesSent"`
-	Data        map[string]uint64             `json:"dataBytes"`
-	Active      int64                         `json:"activeCallers"`
+	Connections int                            `json:"peerConnections"`
+	Control     map[string]uint64              `json:"controlBytesSent"`
+	Packets     uint64                         `json:"controlPacketsSent"`
+	Messages    map[string]berylpeer.KindStats `json:"messagesSent"`
+	Data        map[string]uint64              `json:"dataBytes"`
+	Active      int64                          `json:"activeCallers"`
 }
 
 // State returns the dump of the daemon. If the context ends first, the state of the node
@@ -61,7 +61,7 @@
 	dump.Connections = daemon.transport.Connections()
 	dump.Control, dump.Data = daemon.controlBytes(), daemon.dataTraffic.totals()
 	dump.Active = daemon.activeCallers.Load()
-	dump.Messages = daemon.transport.Traffic().Kinds()
+	dump.Messages = daemon.transport.Traffic().SentByKind()
 	for _, link := range allLinks {
 		dump.Packets += daemon.transport.Traffic().Packets[link].Load()
 	}
--- a/io/berylserve/watch.go
+++ b/io/berylserve/watch.go
@@ -83,7 +83,7 @@
 
 // pollLoads polls the load of the targets whose lessor is this daemon.
 func (daemon *Daemon) pollLoads() {
-	interval := berylsettings.Millis(daemon.settings.Targets.LoadMillis)
+	interval := berylsettings.Millis(daemon.settings.Targets.LoadIntervalMillis)
 	for sleep(daemon.ctx, interval) {
 		var leased []berylspoke.TargetID
 		if daemon.inspect(daemon.ctx, func(_ time.Time, node *berylnode.Node) { leased = node.LeasedTargets() }) != nil {
--- a/io/berylsettings/settings.go
+++ b/io/berylsettings/settings.go
@@ -43,13 +43,13 @@
 
 // Callers bounds the requests and connections of callers.
 type Callers struct {
-	MaxBodyBytes    int64 `json:"maxBodyBytes"`
-	MaxHeaderBytes  int   `json:"maxHeaderBytes"`
-	MaxConnections  int   `json:"maxConnections"`
-	ReadMillis      int   `json:"readMillis"`
-	MaxWaitMillis   int   `json:"maxWaitMillis"`
-	HeartbeatMillis int   `json:"heartbeatMillis"`
-	KeepMillis      int   `json:"keepMillis"`
+	MaxBodyBytes      int64 `json:"maxBodyBytes"`
+	MaxHeaderBytes    int   `json:"maxHeaderBytes"`
+	MaxConnections    int   `json:"maxConnections"`
+	ReadTimeoutMillis int   `json:"readMillis"`
+	MaxWaitMillis     int   `json:"maxWaitMillis"`
+	HeartbeatMillis   int   `json:"heartbeatMillis"`
+	AddressTTLMillis  int   `json:"keepMillis"`
 }
 
 // Fairness bounds the service gap between organisations, in tokens at weight one.
@@ -71,11 +71,11 @@
 // Targets holds the timeouts of requests to targets, the interval of their load checks
 // and the goal for the time between tokens.
 type Targets struct {
-	FirstTokenMillis    int `json:"firstTokenMillis"`
-	ProgressMillis      int `json:"progressMillis"`
-	CallMillis          int `json:"callMillis"`
-	LoadMillis          int `json:"loadMillis"`
-	TokenIntervalMillis int `json:"paceMillis"`
+	FirstTokenTimeoutMillis int `json:"firstTokenMillis"`
+	ProgressTimeoutMillis   int `json:"progressMillis"`
+	CallTimeoutMillis       int `json:"callMillis"`
+	LoadIntervalMillis      int `json:"loadMillis"`
+	TokenIntervalMillis     int `json:"paceMillis"`
 }
 
 // Defaults returns the values of settings that the file leaves out.
@@ -86,7 +86,7 @@
 		LogLevel: "info",
 		Callers: Callers{
 			MaxBodyBytes: 4 << 20, MaxHeaderBytes: 16 << 10, MaxConnections: 4096,
-			ReadMillis: 10_000, MaxWaitMillis: 120_000, HeartbeatMillis: 2_000, KeepMillis: 30_000,
+			ReadTimeoutMillis: 10_000, MaxWaitMillis: 120_000, HeartbeatMillis: 2_000, AddressTTLMillis: 30_000,
 		},
 		Fairness: Fairness{
 			CatchUpTokens:        berylspoke.Tokens(node.Queue.CatchUp / berylspoke.TagScale),
@@ -100,7 +100,7 @@
 			CrossMarginTokens:   berylspoke.Tokens(node.CrossMargin / berylspoke.TagScale),
 			CrossBytesPerSecond: int(node.CrossBytesPerSecond),
 		},
-		Targets: Targets{FirstTokenMillis: 2_000, ProgressMillis: 1_000, CallMillis: 20_000, LoadMillis: 2_000, TokenIntervalMillis: 30},
+		Targets: Targets{FirstTokenTimeoutMillis: 2_000, ProgressTimeoutMillis: 1_000, CallTimeoutMillis: 20_000, LoadIntervalMillis: 2_000, TokenIntervalMillis: 30},
 	}
 }
 
@@ -164,18 +164,18 @@
 		{"callers.maxBodyBytes", settings.Callers.MaxBodyBytes},
 		{"callers.maxHeaderBytes", int64(settings.Callers.MaxHeaderBytes)},
 		{"callers.maxConnections", int64(settings.Callers.MaxConnections)},
-		{"callers.readMillis", int64(settings.Callers.ReadMillis)},
+		{"callers.readMillis", int64(settings.Callers.ReadTimeoutMillis)},
 		{"callers.maxWaitMillis", int64(settings.Callers.MaxWaitMillis)},
 		{"callers.heartbeatMillis", int64(settings.Callers.HeartbeatMillis)},
-		{"callers.keepMillis", int64(settings.Callers.KeepMillis)},
+		{"callers.keepMillis", int64(settings.Callers.AddressTTLMillis)},
 		{"fairness.catchUpTokens", int64(settings.Fairness.CatchUpTokens)},
 		{"fairness.leadTokens", int64(settings.Fairness.LeadTokens)},
 		{"fairness.quantumTokens", int64(settings.Fairness.QuantumTokens)},
 		{"fairness.reportMillis", int64(settings.Fairness.ReportIntervalMillis)},
-		{"targets.firstTokenMillis", int64(settings.Targets.FirstTokenMillis)},
-		{"targets.progressMillis", int64(settings.Targets.ProgressMillis)},
-		{"targets.callMillis", int64(settings.Targets.CallMillis)},
-		{"targets.loadMillis", int64(settings.Targets.LoadMillis)},
+		{"targets.firstTokenMillis", int64(settings.Targets.FirstTokenTimeoutMillis)},
+		{"targets.progressMillis", int64(settings.Targets.ProgressTimeoutMillis)},
+		{"targets.callMillis", int64(settings.Targets.CallTimeoutMillis)},
+		{"targets.loadMillis", int64(settings.Targets.LoadIntervalMillis)},
 		{"targets.paceMillis", int64(settings.Targets.TokenIntervalMillis)},
 	}
 	for _, positive := range positives {
@@ -191,8 +191,8 @@
 	minKeyBytes    = 16
 )
 
-// Keys returns the decoded fleet keys; the settings must be valid.
-func (settings *Settings) Keys() [][]byte {
+// DecodedKeys returns the decoded fleet keys; the settings must be valid.
+func (settings *Settings) DecodedKeys() [][]byte {
 	keys := make([][]byte, len(settings.FleetKeys))
 	for i, key := range settings.FleetKeys {
 		keys[i], _ = hex.DecodeString(key)
@@ -200,8 +200,8 @@
 	return keys
 }
 
-// Node returns the options of the core for these settings.
-func (settings *Settings) Node(incarnation berylspoke.Incarnation) berylnode.Options {
+// NodeOptions returns the options of the core for these settings.
+func (settings *Settings) NodeOptions(incarnation berylspoke.Incarnation) berylnode.Options {
 	options := berylnode.DefaultOptions()
 	options.VM = berylspoke.VM{
 		ID: settings.VM, FailureDomain: settings.FailureDomain,
--- a/io/berylsettings/settings_test.go
+++ b/io/berylsettings/settings_test.go
@@ -40,7 +40,7 @@
 		require.ErrorContains(t, Decode([]byte(test.text), &settings), test.fault)
 	}
 	settings := Defaults()
-	settings.Callers.ReadMillis = 0
+	settings.Callers.ReadTimeoutMillis = 0
 	faults := strings.Join(settings.Validate(), "\n")
 	require.Contains(t, faults, "callers.readMillis: 0 is not positive")
 	require.Contains(t, faults, `peerAddress: "" is not an IP number and a port`)
