--- a/cmd/berylspoke/call.go
+++ b/cmd/berylspoke/call.go
@@ -64,7 +64,7 @@
 	case command.path == "":
 		err = command.draft(ctx, client, inputText(flags))
 	case command.read:
-		err = printOutcome(client.Read(ctx, berylspoke.ServiceID(command.service), command.path))
+		err = printOutcome(client.Get(ctx, berylspoke.ServiceID(command.service), command.path))
 	default:
 		err = command.file(ctx, client, inputText(flags))
 	}
@@ -84,7 +84,7 @@
 }
 
 func (command *callCommand) draft(ctx context.Context, client *berylcall.Client, prompt string) error {
-	_, err := client.Stream(ctx, berylcall.Draft{
+	_, err := client.Stream(ctx, berylcall.GenerationRequest{
 		Service: berylspoke.ServiceID(command.service), Prompt: prompt, MaxTokens: berylspoke.Tokens(command.maxTokens),
 	}, func(text string, _ berylspoke.Tokens) { fmt.Print(text) })
 	fmt.Println()
@@ -97,7 +97,7 @@
 		return err
 	}
 	fmt.Fprintln(os.Stderr, "id", id)
-	return printOutcome(client.File(ctx, berylspoke.ServiceID(command.service), command.path, id, owner, "text/plain", []byte(body)))
+	return printOutcome(client.CallOnce(ctx, berylspoke.ServiceID(command.service), command.path, id, owner, "text/plain", []byte(body)))
 }
 
 func printOutcome(outcome berylcall.Outcome) error {
--- a/cmd/berylspoke/config_test.go
+++ b/cmd/berylspoke/config_test.go
@@ -162,7 +162,7 @@
 		notRun++
 		fleet.signal(entry, syscall.SIGCONT)
 		fleet.Platform.SetDown(false)
-		late := fleet.client("small-1", entry).File(ctx, fleet.Plan.Desk, "/bookings", id, owner, "text/plain", []byte("x"))
+		late := fleet.client("small-1", entry).CallOnce(ctx, fleet.Plan.Desk, "/bookings", id, owner, "text/plain", []byte("x"))
 		require.Equal(t, berylspoke.NotRun, late.Verdict)
 	}
 	require.Equal(t, 2, notRun)
--- a/cmd/berylspoke/demo.go
+++ b/cmd/berylspoke/demo.go
@@ -100,7 +100,7 @@
 	fmt.Println("A draft, streamed as it is generated:")
 	started := time.Now()
 	var first time.Duration
-	tokens, err := demoClient(fleet, "small-1").Stream(ctx, berylcall.Draft{
+	tokens, err := demoClient(fleet, "small-1").Stream(ctx, berylcall.GenerationRequest{
 		Service: fleet.Plan.Model, Prompt: "A letter about unpaid overtime. [tokens=40]",
 	}, func(text string, _ berylspoke.Tokens) {
 		if first == 0 {
@@ -128,7 +128,7 @@
 		path = "/bookings"
 	}
 	for range 2 {
-		outcome := client.File(ctx, fleet.Plan.Desk, path, id, owner, "text/plain", []byte("a letter"))
+		outcome := client.CallOnce(ctx, fleet.Plan.Desk, path, id, owner, "text/plain", []byte("a letter"))
 		if outcome.Err != nil {
 			return errors.Wrap(outcome.Err, "filing")
 		}
--- a/cmd/berylspoke/faults_test.go
+++ b/cmd/berylspoke/faults_test.go
@@ -50,7 +50,7 @@
 func startDraft(ctx context.Context, client *berylcall.Client, service berylspoke.ServiceID, prompt string, attempts int) *draftStream {
 	draftStream := &draftStream{prompt: prompt, done: make(chan error, 1)}
 	go func() {
-		_, err := client.Stream(ctx, berylcall.Draft{Service: service, Prompt: prompt, Attempts: attempts}, func(piece string, tokens berylspoke.Tokens) {
+		_, err := client.Stream(ctx, berylcall.GenerationRequest{Service: service, Prompt: prompt, MaxAttempts: attempts}, func(piece string, tokens berylspoke.Tokens) {
 			draftStream.mutex.Lock()
 			defer draftStream.mutex.Unlock()
 			draftStream.text.WriteString(piece)
@@ -142,7 +142,7 @@
 	id, owner := fleet.newID(ctx, "small-1", entry)
 	outcomes := make(chan berylcall.Outcome, 1)
 	settler := fleet.client("small-1", other)
-	go func() { outcomes <- settler.File(ctx, plan.Desk, "/letters", id, owner, "text/plain", []byte("x")) }()
+	go func() { outcomes <- settler.CallOnce(ctx, plan.Desk, "/letters", id, owner, "text/plain", []byte("x")) }()
 	require.Eventually(t, func() bool { _, requests := fleet.Executions(); return requests == 1 }, waitTimeout, 5*time.Millisecond)
 	fleet.kill(entry)
 	outcome := <-outcomes
@@ -150,7 +150,7 @@
 
 	fleet.start(entry)
 	fleet.waitState(entry, func(state berylserve.Dump) bool { return state.Ready })
-	again := client.File(ctx, plan.Desk, "/letters", id, owner, "text/plain", []byte("x"))
+	again := client.CallOnce(ctx, plan.Desk, "/letters", id, owner, "text/plain", []byte("x"))
 	require.Equal(t, berylspoke.MayHaveRun, again.Verdict, "the restarted daemon is not the owner")
 	maxRuns, requests := fleet.Executions()
 	require.Equal(t, 1, maxRuns)
@@ -180,8 +180,8 @@
 	fleet.signal(entry, syscall.SIGSTOP)
 	shortCtx, cancel := context.WithTimeout(ctx, 500*time.Millisecond)
 	defer cancel()
-	filed := fleet.client("small-1", entry).File(shortCtx, fleet.Plan.Desk, "/letters", id, owner, "text/plain", []byte("x"))
-	require.Equal(t, berylspoke.MayHaveRun, filed.Verdict, "the frozen owner did not answer in time")
+	outcome := fleet.client("small-1", entry).CallOnce(shortCtx, fleet.Plan.Desk, "/letters", id, owner, "text/plain", []byte("x"))
+	require.Equal(t, berylspoke.MayHaveRun, outcome.Verdict, "the frozen owner did not answer in time")
 	settled := fleet.client("small-1", other).Settle(ctx, id, fleet.settings[other].CallAddress)
 	require.Equal(t, berylspoke.NotRun, settled.Verdict)
 
@@ -220,8 +220,8 @@
 	}
 	id, owner := fleet.newID(ctx, "small-1", entry)
 	fleet.signal(entry, syscall.SIGTERM)
-	filed := fleet.client("small-1", entry).File(ctx, fleet.Plan.Desk, "/letters", id, owner, "text/plain", []byte("x"))
-	require.Equal(t, berylspoke.Ran, filed.Verdict, "callers are served during the notice period")
+	outcome := fleet.client("small-1", entry).CallOnce(ctx, fleet.Plan.Desk, "/letters", id, owner, "text/plain", []byte("x"))
+	require.Equal(t, berylspoke.Ran, outcome.Verdict, "callers are served during the notice period")
 	for _, draft := range drafts {
 		draft.wait(t)
 	}
--- a/cmd/berylspoke/path_test.go
+++ b/cmd/berylspoke/path_test.go
@@ -25,7 +25,7 @@
 
 	prompt := "An issue on the harvest. [tokens=30]"
 	var text strings.Builder
-	tokens, err := client.Stream(ctx, berylcall.Draft{Service: fleet.Plan.Model, Prompt: prompt}, func(piece string, _ berylspoke.Tokens) {
+	tokens, err := client.Stream(ctx, berylcall.GenerationRequest{Service: fleet.Plan.Model, Prompt: prompt}, func(piece string, _ berylspoke.Tokens) {
 		text.WriteString(piece)
 	})
 	require.NoError(t, err)
@@ -34,15 +34,15 @@
 
 	id, owner, err := client.NewID(ctx)
 	require.NoError(t, err)
-	first := client.File(ctx, fleet.Plan.Desk, "/bookings", id, owner, "text/plain", []byte("three hundred copies"))
-	second := client.File(ctx, fleet.Plan.Desk, "/bookings", id, owner, "text/plain", []byte("three hundred copies"))
+	first := client.CallOnce(ctx, fleet.Plan.Desk, "/bookings", id, owner, "text/plain", []byte("three hundred copies"))
+	second := client.CallOnce(ctx, fleet.Plan.Desk, "/bookings", id, owner, "text/plain", []byte("three hundred copies"))
 	require.NoError(t, first.Err)
 	require.Equal(t, first, second)
 	maxRuns, requests := fleet.Executions()
 	require.Equal(t, 1, maxRuns)
 	require.Equal(t, 1, requests)
 
-	status := client.Read(ctx, fleet.Plan.Desk, "/addresses/12")
+	status := client.Get(ctx, fleet.Plan.Desk, "/addresses/12")
 	require.NoError(t, status.Err)
 	require.Contains(t, string(status.Body), "filed")
 
--- a/cmd/berylspoke/process_test.go
+++ b/cmd/berylspoke/process_test.go
@@ -178,7 +178,7 @@
 // client returns a client of an organisation, which uses all VMs as seeds if none is
 // given.
 func (fleet *processFleet) client(organisation berylspoke.OrganisationID, seeds ...berylspoke.VMID) *berylcall.Client {
-	options := berylcall.Options{Key: fleet.Plan.Key(organisation), Fixed: len(seeds) > 0}
+	options := berylcall.Options{Key: fleet.Plan.Key(organisation), SeedsOnly: len(seeds) > 0}
 	for _, vm := range fleet.Plan.VMs() {
 		if len(seeds) == 0 {
 			options.Seeds = append(options.Seeds, vm.CallAddress)
--- a/io/berylcall/calls.go
+++ b/io/berylcall/calls.go
@@ -47,9 +47,9 @@
 	}
 }
 
-// File sends a non-idempotent call under an id to the owner of the id, once. It never
+// CallOnce sends a non-idempotent call under an id to the owner of the id, once. It never
 // repeats the call: if the answer is lost, it settles the id.
-func (client *Client) File(ctx context.Context, service berylspoke.ServiceID, path, id, owner, contentType string, body []byte) Outcome {
+func (client *Client) CallOnce(ctx context.Context, service berylspoke.ServiceID, path, id, owner, contentType string, body []byte) Outcome {
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	response, err := client.send(callCtx, http.MethodPost, owner, callPath(service, path), id, contentType, bytes.NewReader(body))
@@ -101,8 +101,8 @@
 	return outcome
 }
 
-// Read runs an idempotent call, a GET, and retries it at other daemons if one fails.
-func (client *Client) Read(ctx context.Context, service berylspoke.ServiceID, path string) Outcome {
+// Get runs an idempotent call, a GET, and retries it at other daemons if one fails.
+func (client *Client) Get(ctx context.Context, service berylspoke.ServiceID, path string) Outcome {
 	outcome := Outcome{Err: errors.New("no attempt was made")}
 	for attempt := range defaultAttempts {
 		address, err := client.address(ctx, attempt)
--- a/io/berylcall/client.go
+++ b/io/berylcall/client.go
@@ -73,9 +73,9 @@
 	// Seeds are addresses at which some of the daemons serve callers.
 	Seeds []string
 	Key   string
-	// Fixed makes the client send generation requests and reads to the seeds in turn
+	// SeedsOnly makes the client send generation requests and reads to the seeds in turn
 	// instead of to resolved addresses.
-	Fixed bool
+	SeedsOnly bool
 }
 
 // Client sends the requests of one organisation to the fleet.
@@ -147,7 +147,7 @@
 
 // address returns the address for an attempt of a generation request or a read.
 func (client *Client) address(ctx context.Context, attempt int) (string, error) {
-	if client.options.Fixed {
+	if client.options.SeedsOnly {
 		return client.options.Seeds[attempt%len(client.options.Seeds)], nil
 	}
 	resolution, err := client.resolve(ctx)
--- a/io/berylcall/generation.go
+++ b/io/berylcall/generation.go
@@ -32,14 +32,14 @@
 	Error   *wireError `json:"error"`
 }
 
-// Draft is a request for generated text.
-type Draft struct {
+// GenerationRequest is a request for generated text.
+type GenerationRequest struct {
 	Service   berylspoke.ServiceID
 	Prompt    string
 	MaxTokens berylspoke.Tokens
 	Hint      berylspoke.Tokens
-	// Attempts bounds the attempts; zero means the default.
-	Attempts int
+	// MaxAttempts bounds the attempts; zero means the default.
+	MaxAttempts int
 }
 
 const (
@@ -53,8 +53,8 @@
 
 // Stream sends a generation request and passes each piece of the text to sink once and in
 // order. It resumes at another daemon if one fails, and returns the number of tokens.
-func (client *Client) Stream(ctx context.Context, generation Draft, sink func(text string, tokens berylspoke.Tokens)) (berylspoke.Tokens, error) {
-	maxAttempts := generation.Attempts
+func (client *Client) Stream(ctx context.Context, generation GenerationRequest, sink func(text string, tokens berylspoke.Tokens)) (berylspoke.Tokens, error) {
+	maxAttempts := generation.MaxAttempts
 	if maxAttempts == 0 {
 		maxAttempts = defaultAttempts
 	}
@@ -97,7 +97,7 @@
 	}
 }
 
-func (client *Client) streamOnce(ctx context.Context, generation Draft, attempt int, next *berylspoke.Tokens, sink func(string, berylspoke.Tokens)) (bool, error) {
+func (client *Client) streamOnce(ctx context.Context, generation GenerationRequest, attempt int, next *berylspoke.Tokens, sink func(string, berylspoke.Tokens)) (bool, error) {
 	address, err := client.address(ctx, attempt)
 	if err != nil {
 		return false, err
--- a/io/berylload/measure.go
+++ b/io/berylload/measure.go
@@ -153,8 +153,8 @@
 	for _, entry := range run.fleet.Entries {
 		var dump berylserve.Dump
 		if getJSON("http://"+entry.OperatorAddress+"/state", run.fleet.OperatorToken, &dump) == nil {
-			sum.controlBytes[entry.VM] = dump.Control
-			sum.crossRegionBytes += dump.Data["acrossRegions"]
+			sum.controlBytes[entry.VM] = dump.ControlBytes
+			sum.crossRegionBytes += dump.DataBytes["acrossRegions"]
 		}
 	}
 	return sum
--- a/io/berylload/run.go
+++ b/io/berylload/run.go
@@ -102,7 +102,7 @@
 		for next := 1; next < count; next++ {
 			seeds = append(seeds, fleet.Entries[(index*index+i+next)%count].CallAddress)
 		}
-		callers.clients = append(callers.clients, berylcall.New(berylcall.Options{Seeds: seeds, Key: organisation.Key, Fixed: true}))
+		callers.clients = append(callers.clients, berylcall.New(berylcall.Options{Seeds: seeds, Key: organisation.Key, SeedsOnly: true}))
 	}
 	return callers
 }
@@ -227,8 +227,8 @@
 	run.mutex.Unlock()
 	started := time.Now()
 	lastReceived := time.Time{}
-	_, err := client.Stream(ctx, berylcall.Draft{
-		Service: run.fleet.ModelService, Prompt: prompt, Hint: berylspoke.Tokens(hint), Attempts: 2,
+	_, err := client.Stream(ctx, berylcall.GenerationRequest{
+		Service: run.fleet.ModelService, Prompt: prompt, Hint: berylspoke.Tokens(hint), MaxAttempts: 2,
 	}, func(_ string, tokens berylspoke.Tokens) {
 		now := time.Now()
 		callers.receive(now, started, lastReceived, tokens, run.flooding(now))
--- a/io/berylserve/operators.go
+++ b/io/berylserve/operators.go
@@ -45,12 +45,12 @@
 // Dump is the state of a daemon with its traffic counters, as operators read it.
 type Dump struct {
 	berylnode.State
-	Connections int                            `json:"peerConnections"`
-	Control     map[string]uint64              `json:"controlBytesSent"`
-	Packets     uint64                         `json:"controlPacketsSent"`
-	Messages    map[string]berylpeer.KindStats `json:"messagesSent"`
-	Data        map[string]uint64              `json:"dataBytes"`
-	Active      int64                          `json:"activeCallers"`
+	PeerConnections int                            `json:"peerConnections"`
+	ControlBytes    map[string]uint64              `json:"controlBytesSent"`
+	ControlPackets  uint64                         `json:"controlPacketsSent"`
+	SentMessages    map[string]berylpeer.KindStats `json:"messagesSent"`
+	DataBytes       map[string]uint64              `json:"dataBytes"`
+	ActiveCallers   int64                          `json:"activeCallers"`
 }
 
 // State returns the dump of the daemon. If the context ends first, the state of the node
@@ -58,12 +58,12 @@
 func (daemon *Daemon) State(ctx context.Context) (Dump, error) {
 	var dump Dump
 	err := daemon.inspect(ctx, func(now time.Time, node *berylnode.Node) { dump.State = node.State(now) })
-	dump.Connections = daemon.transport.Connections()
-	dump.Control, dump.Data = daemon.controlBytes(), daemon.dataTraffic.totals()
-	dump.Active = daemon.activeCallers.Load()
-	dump.Messages = daemon.transport.Traffic().SentByKind()
+	dump.PeerConnections = daemon.transport.Connections()
+	dump.ControlBytes, dump.DataBytes = daemon.controlBytes(), daemon.dataTraffic.totals()
+	dump.ActiveCallers = daemon.activeCallers.Load()
+	dump.SentMessages = daemon.transport.Traffic().SentByKind()
 	for _, link := range allLinks {
-		dump.Packets += daemon.transport.Traffic().Packets[link].Load()
+		dump.ControlPackets += daemon.transport.Traffic().Packets[link].Load()
 	}
 	return dump, err
 }
