--- a/cmd/berylspoke/callers_test.go
+++ b/cmd/berylspoke/callers_test.go
@@ -27,7 +27,7 @@
 // smallPlan returns the plan of one failure domain of kitamine.
 func smallPlan() berylfleet.Plan {
 	plan := berylfleet.Kitamine()
-	plan.Areas = plan.Areas[:1]
+	plan.Domains = plan.Domains[:1]
 	return plan
 }
 
--- a/cmd/berylspoke/config_test.go
+++ b/cmd/berylspoke/config_test.go
@@ -52,7 +52,7 @@
 	require.NoError(t, err)
 	require.Contains(t, state.Outcomes[2].Problem, "made against version 1, in force is 2")
 
-	fleet.Platform.ShowOnly(1)
+	fleet.Platform.SetVisiblePatches(1)
 	fleet.kill(restarted)
 	fleet.start(restarted)
 	fleet.waitVersion(2)
@@ -62,7 +62,7 @@
 	fleet.kill(restarted)
 	fleet.start(restarted)
 	fleet.Platform.SetDown(false)
-	fleet.Platform.ShowOnly(3)
+	fleet.Platform.SetVisiblePatches(3)
 	fleet.publish(weightPatch(2, 7))
 	fleet.waitVersion(3)
 }
@@ -79,28 +79,28 @@
 	defer relays.Close()
 	// Daemons learn the relays' addresses from the platform's list of VMs when they
 	// restart.
-	fleet.Platform.SetVMs(relays.Advertised())
+	fleet.Platform.SetVMs(relays.AdvertisedVMs())
 	for _, vm := range fleet.Plan.VMs() {
 		fleet.kill(vm.ID)
 		fleet.start(vm.ID)
 	}
 	fleet.waitVersion(1)
 	north, south := fleet.Plan.VMs()[6].ID, fleet.Plan.VMs()[0].ID
-	relays.CutRegions()
+	relays.PartitionRegions()
 	fleet.waitState(south, func(state berylserve.Dump) bool { return memberStatus(state, north) == "dead" })
 	fleet.waitState(north, func(state berylserve.Dump) bool { return memberStatus(state, south) == "dead" })
 	fleet.publish(weightPatch(1, 5))
 	fleet.waitVersion(2)
 	ctx := testContext(t)
 	for _, vm := range []berylspoke.VMID{north, south} {
-		startDraft(ctx, fleet.client("small-4", vm), plan.Model, "A letter from both sides. [tokens=20]", 1).wait(t)
+		startDraft(ctx, fleet.client("small-4", vm), plan.ModelService, "A letter from both sides. [tokens=20]", 1).wait(t)
 	}
 	restarted := fleet.Plan.VMs()[7].ID
 	fleet.kill(restarted)
 	fleet.start(restarted)
 	fleet.waitVersion(2)
 
-	relays.Mend()
+	relays.Heal()
 	for _, vm := range fleet.Plan.VMs() {
 		fleet.waitState(vm.ID, func(state berylserve.Dump) bool {
 			for _, member := range state.Members {
@@ -118,14 +118,14 @@
 // there complete.
 func TestDrainingTargetGetsNoNewRequests(t *testing.T) {
 	plan := berylfleet.Kitamine()
-	plan.Areas = plan.Areas[:1]
-	plan.Areas[0].Engines = 2
+	plan.Domains = plan.Domains[:1]
+	plan.Domains[0].Engines = 2
 	fleet := startProcesses(t, plan, nil)
 	ctx := testContext(t)
 	entry := fleet.Plan.VMs()[0].ID
 	var drafts []*draftStream
 	for i := range 6 {
-		drafts = append(drafts, startDraft(ctx, fleet.client("small-3", entry), plan.Model, fmt.Sprintf("Case %d. [tokens=60]", i), 1))
+		drafts = append(drafts, startDraft(ctx, fleet.client("small-3", entry), plan.ModelService, fmt.Sprintf("Case %d. [tokens=60]", i), 1))
 	}
 	for _, draft := range drafts {
 		fleet.waitTokens(draft, 1)
@@ -140,7 +140,7 @@
 	}
 	before := fleet.Engines[draining].Stats().Tokens
 	for i := range 10 {
-		startDraft(ctx, fleet.client("small-3", entry), plan.Model, fmt.Sprintf("Later case %d. [tokens=10]", i), 1).wait(t)
+		startDraft(ctx, fleet.client("small-3", entry), plan.ModelService, fmt.Sprintf("Later case %d. [tokens=10]", i), 1).wait(t)
 	}
 	require.Equal(t, before, fleet.Engines[draining].Stats().Tokens)
 }
@@ -162,11 +162,11 @@
 		notRun++
 		fleet.signal(entry, syscall.SIGCONT)
 		fleet.Platform.SetDown(false)
-		late := fleet.client("small-1", entry).CallOnce(ctx, fleet.Plan.Desk, "/bookings", id, owner, "text/plain", []byte("x"))
+		late := fleet.client("small-1", entry).CallOnce(ctx, fleet.Plan.PlainService, "/bookings", id, owner, "text/plain", []byte("x"))
 		require.Equal(t, berylspoke.NotRun, late.Verdict)
 	}
 	require.Equal(t, 2, notRun)
-	_, requests := fleet.Executions()
+	_, requests := fleet.ExecutionCounts()
 	require.Zero(t, requests)
 }
 
@@ -184,7 +184,7 @@
 	fleet.waitVersion(2)
 	var drafts []*draftStream
 	for i := range 300 {
-		drafts = append(drafts, startDraft(ctx, fleet.client("small-1", entry), plan.Model, fmt.Sprintf("Flood %d. [tokens=400]", i), 1))
+		drafts = append(drafts, startDraft(ctx, fleet.client("small-1", entry), plan.ModelService, fmt.Sprintf("Flood %d. [tokens=400]", i), 1))
 	}
 	refused := 0
 	fleet.waitState(entry, func(state berylserve.Dump) bool { return state.Waiting >= 5 })
@@ -203,14 +203,14 @@
 		}
 		return refused > 150
 	}, waitTimeout, 20*time.Millisecond)
-	startDraft(ctx, fleet.client("small-2", entry), plan.Model, "A quick question. [tokens=10]", 1).wait(t)
+	startDraft(ctx, fleet.client("small-2", entry), plan.ModelService, "A quick question. [tokens=10]", 1).wait(t)
 }
 
 // Requests with invalid keys, ids and bodies are rejected with a reason and the verdict
 // notRun, and none runs.
 func TestBadInputIsRefused(t *testing.T) {
 	plan := berylfleet.Kitamine()
-	plan.Areas = plan.Areas[:1]
+	plan.Domains = plan.Domains[:1]
 	fleet := startProcesses(t, plan, func(settings *berylsettings.Settings) { settings.Callers.MaxBodyBytes = 1000 })
 	ctx := testContext(t)
 	entry := fleet.Plan.VMs()[0].ID
@@ -257,7 +257,7 @@
 			require.Equal(t, "notRun", failure.Error.Verdict)
 		})
 	}
-	_, requests := fleet.Executions()
+	_, requests := fleet.ExecutionCounts()
 	require.Zero(t, requests)
 }
 
@@ -266,16 +266,16 @@
 // the declared state restores it.
 func TestEnginesReturnToTheirDeclaredState(t *testing.T) {
 	plan := berylfleet.Kitamine()
-	plan.Areas = plan.Areas[:1]
-	plan.Areas[0].Engines = 1
-	plan.Engine.IgnoreFence = true
+	plan.Domains = plan.Domains[:1]
+	plan.Domains[0].Engines = 1
+	plan.EngineOptions.IgnoreFence = true
 	fleet := startProcesses(t, plan, nil)
 	id := berylspoke.TargetID("sapporo-a-engine-1")
 	target := fleet.Plan.Targets()[id]
 	target.Model, target.Version, target.Role, target.Fence = "letters", "v1", "decode", berylconfig.FenceIgnored
 	fleet.publish(&berylconfig.Patch{Base: 1, Targets: map[berylspoke.TargetID]*berylconfig.Target{id: &target}})
 	holds := func(version string) func() bool {
-		return func() bool { return fleet.Engines[id].Held().Version == version }
+		return func() bool { return fleet.Engines[id].CurrentOrder().Version == version }
 	}
 	require.Eventually(t, holds("v1"), waitTimeout, 50*time.Millisecond)
 	target.Version = "v2"
@@ -306,7 +306,7 @@
 // valid declarations, and the fleet applies it.
 func TestCheckAndPatch(t *testing.T) {
 	plan := berylfleet.Kitamine()
-	plan.Areas = plan.Areas[:1]
+	plan.Domains = plan.Domains[:1]
 	fleet := startProcesses(t, plan, nil)
 	write := func(name, text string) string {
 		path := filepath.Join(t.TempDir(), name)
--- a/cmd/berylspoke/demo.go
+++ b/cmd/berylspoke/demo.go
@@ -59,11 +59,11 @@
 }
 
 func (command *demoCommand) run(ctx context.Context, plan berylfleet.Plan) error {
-	base, err := berylfleet.FindBase(20)
+	network, err := berylfleet.FindLoopbackNetwork(20)
 	if err != nil {
 		return err
 	}
-	plan.Base = base
+	plan.LoopbackNetwork = network
 	started := time.Now()
 	fleet, err := berylfleet.StartEmbedded(plan, zap.NewNop(), nil)
 	if err != nil {
@@ -76,7 +76,7 @@
 		return err
 	}
 	fmt.Printf("%d daemons, %d engines and %d desks are up after %s\n\n", len(fleet.Daemons),
-		len(fleet.Engines), len(fleet.Desks), time.Since(started).Round(time.Millisecond))
+		len(fleet.Engines), len(fleet.PlainTargets), time.Since(started).Round(time.Millisecond))
 	for _, step := range []func(context.Context, *berylfleet.Embedded) error{showDraft, showFiling, showPatch} {
 		if err := step(demoCtx, fleet); err != nil {
 			return err
@@ -101,7 +101,7 @@
 	started := time.Now()
 	var first time.Duration
 	tokens, err := demoClient(fleet, "small-1").Stream(ctx, berylcall.GenerationRequest{
-		Service: fleet.Plan.Model, Prompt: "A letter about unpaid overtime. [tokens=40]",
+		Service: fleet.Plan.ModelService, Prompt: "A letter about unpaid overtime. [tokens=40]",
 	}, func(text string, _ berylspoke.Tokens) {
 		if first == 0 {
 			first = time.Since(started)
@@ -128,13 +128,13 @@
 		path = "/bookings"
 	}
 	for range 2 {
-		outcome := client.CallOnce(ctx, fleet.Plan.Desk, path, id, owner, "text/plain", []byte("a letter"))
+		outcome := client.CallOnce(ctx, fleet.Plan.PlainService, path, id, owner, "text/plain", []byte("a letter"))
 		if outcome.Err != nil {
 			return errors.Wrap(outcome.Err, "filing")
 		}
 		fmt.Printf("  %s: %s", outcome.Verdict, outcome.Body)
 	}
-	maxRuns, requests := fleet.Executions()
+	maxRuns, requests := fleet.ExecutionCounts()
 	fmt.Printf("the desks executed %d request, %d time\n\n", requests, maxRuns)
 	if maxRuns != 1 || requests != 1 {
 		return fmt.Errorf("the filing ran %d times", maxRuns)
@@ -169,7 +169,7 @@
   curl -s -H 'Authorization: Bearer %[1]s' http://%[2]s/v1/resolve
   curl -sN -H 'Authorization: Bearer %[1]s' -d '{"prompt":"A short letter. [tokens=30]"}' http://%[2]s/v1/services/%[3]s/drafts
   curl -s -H 'Authorization: Bearer %[4]s' http://%[5]s/state
-`, key, vm.CallAddress, fleet.Plan.Model, berylfleet.OperatorToken, fleet.Plan.Settings(vm).OperatorAddress)
+`, key, vm.CallAddress, fleet.Plan.ModelService, berylfleet.OperatorToken, fleet.Plan.Settings(vm).OperatorAddress)
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt)
 	select {
--- a/cmd/berylspoke/faults_test.go
+++ b/cmd/berylspoke/faults_test.go
@@ -42,7 +42,7 @@
 func (draftStream *draftStream) wait(t *testing.T) {
 	t.Helper()
 	require.NoError(t, <-draftStream.done)
-	require.Equal(t, berylstand.Text(draftStream.prompt, 0), draftStream.text.String())
+	require.Equal(t, berylstand.OutputText(draftStream.prompt, 0), draftStream.text.String())
 }
 
 // startDraft streams a draft. With one attempt the client does not retry, so only the
@@ -72,7 +72,7 @@
 	fleet := startProcesses(t, berylfleet.Kitamine(), nil)
 	entry, other := fleet.Plan.VMs()[0].ID, fleet.Plan.VMs()[4].ID
 	client := fleet.client("small-3", entry, other)
-	draft := startDraft(testContext(t), client, fleet.Plan.Model, "A dossier of dismissal. [tokens=80]", 8)
+	draft := startDraft(testContext(t), client, fleet.Plan.ModelService, "A dossier of dismissal. [tokens=80]", 8)
 	fleet.waitTokens(draft, 10)
 	fleet.kill(entry)
 	draft.wait(t)
@@ -83,9 +83,9 @@
 func TestDraftSurvivesEngineCrash(t *testing.T) {
 	fleet := startProcesses(t, berylfleet.Kitamine(), nil)
 	entry := fleet.Plan.VMs()[0].ID
-	draft := startDraft(testContext(t), fleet.client("small-3", entry), fleet.Plan.Model, "A dossier of wages. [tokens=80]", 1)
+	draft := startDraft(testContext(t), fleet.client("small-3", entry), fleet.Plan.ModelService, "A dossier of wages. [tokens=80]", 1)
 	fleet.waitTokens(draft, 10)
-	fleet.CloseTarget(fleet.busyEngine())
+	fleet.CrashTarget(fleet.busyEngine())
 	draft.wait(t)
 }
 
@@ -106,15 +106,15 @@
 // connection, and resumes the draft.
 func TestDraftSurvivesSilentConnection(t *testing.T) {
 	plan := berylfleet.Kitamine()
-	plan.Areas = plan.Areas[:1]
-	plan.Areas[0].Engines, plan.Areas[0].VMs = 1, 2
+	plan.Domains = plan.Domains[:1]
+	plan.Domains[0].Engines, plan.Domains[0].VMs = 1, 2
 	fleet := startProcesses(t, plan, nil)
 	var id berylspoke.TargetID
 	for engine := range fleet.Engines {
 		id = engine
 	}
 	target := fleet.Plan.Targets()[id]
-	front := fmt.Sprintf("127.%d.4.1:7400", fleet.Plan.Base)
+	front := fmt.Sprintf("127.%d.4.1:7400", fleet.Plan.LoopbackNetwork)
 	relay, err := berylstand.NewStreamRelay(front, target.Address)
 	require.NoError(t, err)
 	defer relay.Close()
@@ -123,9 +123,9 @@
 	entry := fleet.Plan.VMs()[0].ID
 	fleet.waitState(entry, func(state berylserve.Dump) bool { return state.Version == 2 })
 
-	draft := startDraft(testContext(t), fleet.client("small-3", entry), fleet.Plan.Model, "A dossier of silence. [tokens=120]", 1)
+	draft := startDraft(testContext(t), fleet.client("small-3", entry), fleet.Plan.ModelService, "A dossier of silence. [tokens=120]", 1)
 	fleet.waitTokens(draft, 10)
-	require.Positive(t, relay.Forget())
+	require.Positive(t, relay.Blackhole())
 	draft.wait(t)
 }
 
@@ -134,7 +134,7 @@
 // the permit, and answers that the filing may have run.
 func TestFilingWhoseOwnerDies(t *testing.T) {
 	plan := berylfleet.Kitamine()
-	plan.DeskFor = 3 * time.Second
+	plan.PlainResponseTime = 3 * time.Second
 	fleet := startProcesses(t, plan, nil)
 	ctx := testContext(t)
 	entry, other := fleet.Plan.VMs()[0].ID, fleet.Plan.VMs()[4].ID
@@ -142,17 +142,19 @@
 	id, owner := fleet.newID(ctx, "small-1", entry)
 	outcomes := make(chan berylcall.Outcome, 1)
 	settler := fleet.client("small-1", other)
-	go func() { outcomes <- settler.CallOnce(ctx, plan.Desk, "/letters", id, owner, "text/plain", []byte("x")) }()
-	require.Eventually(t, func() bool { _, requests := fleet.Executions(); return requests == 1 }, waitTimeout, 5*time.Millisecond)
+	go func() {
+		outcomes <- settler.CallOnce(ctx, plan.PlainService, "/letters", id, owner, "text/plain", []byte("x"))
+	}()
+	require.Eventually(t, func() bool { _, requests := fleet.ExecutionCounts(); return requests == 1 }, waitTimeout, 5*time.Millisecond)
 	fleet.kill(entry)
 	outcome := <-outcomes
 	require.Equal(t, berylspoke.MayHaveRun, outcome.Verdict)
 
 	fleet.start(entry)
 	fleet.waitState(entry, func(state berylserve.Dump) bool { return state.Ready })
-	again := client.CallOnce(ctx, plan.Desk, "/letters", id, owner, "text/plain", []byte("x"))
+	again := client.CallOnce(ctx, plan.PlainService, "/letters", id, owner, "text/plain", []byte("x"))
 	require.Equal(t, berylspoke.MayHaveRun, again.Verdict, "the restarted daemon is not the owner")
-	maxRuns, requests := fleet.Executions()
+	maxRuns, requests := fleet.ExecutionCounts()
 	require.Equal(t, 1, maxRuns)
 	require.Equal(t, 1, requests)
 }
@@ -180,7 +182,7 @@
 	fleet.signal(entry, syscall.SIGSTOP)
 	shortCtx, cancel := context.WithTimeout(ctx, 500*time.Millisecond)
 	defer cancel()
-	outcome := fleet.client("small-1", entry).CallOnce(shortCtx, fleet.Plan.Desk, "/letters", id, owner, "text/plain", []byte("x"))
+	outcome := fleet.client("small-1", entry).CallOnce(shortCtx, fleet.Plan.PlainService, "/letters", id, owner, "text/plain", []byte("x"))
 	require.Equal(t, berylspoke.MayHaveRun, outcome.Verdict, "the frozen owner did not answer in time")
 	settled := fleet.client("small-1", other).Settle(ctx, id, fleet.settings[other].CallAddress)
 	require.Equal(t, berylspoke.NotRun, settled.Verdict)
@@ -190,7 +192,7 @@
 	fleet.waitState(other, func(state berylserve.Dump) bool { return memberStatus(state, entry) == "alive" })
 	after := fleet.client("small-1", entry).Settle(ctx, id, owner)
 	require.Equal(t, berylspoke.NotRun, after.Verdict)
-	_, requests := fleet.Executions()
+	_, requests := fleet.ExecutionCounts()
 	require.Zero(t, requests)
 }
 
@@ -213,14 +215,14 @@
 	var drafts []*draftStream
 	for i := range 6 {
 		prompt := fmt.Sprintf("Case %d. [tokens=150]", i)
-		drafts = append(drafts, startDraft(ctx, fleet.client("small-3", entry), fleet.Plan.Model, prompt, 1))
+		drafts = append(drafts, startDraft(ctx, fleet.client("small-3", entry), fleet.Plan.ModelService, prompt, 1))
 	}
 	for _, draft := range drafts {
 		fleet.waitTokens(draft, 1)
 	}
 	id, owner := fleet.newID(ctx, "small-1", entry)
 	fleet.signal(entry, syscall.SIGTERM)
-	outcome := fleet.client("small-1", entry).CallOnce(ctx, fleet.Plan.Desk, "/letters", id, owner, "text/plain", []byte("x"))
+	outcome := fleet.client("small-1", entry).CallOnce(ctx, fleet.Plan.PlainService, "/letters", id, owner, "text/plain", []byte("x"))
 	require.Equal(t, berylspoke.Ran, outcome.Verdict, "callers are served during the notice period")
 	for _, draft := range drafts {
 		draft.wait(t)
--- a/cmd/berylspoke/load.go
+++ b/cmd/berylspoke/load.go
@@ -43,10 +43,10 @@
 	flags.DurationVar(&command.options.Warmup, "warmup", command.options.Warmup, "duration of the load before the measurement")
 	flags.DurationVar(&command.options.Measure, "measure", command.options.Measure, "duration of the measurement")
 	flags.Uint64Var(&command.options.Seed, "seed", command.options.Seed, "random seed")
-	flags.Float64Var(&command.options.Rate, "rate", command.options.Rate, "drafts per second in an open loop")
+	flags.Float64Var(&command.options.RequestsPerSecond, "rate", command.options.RequestsPerSecond, "drafts per second in an open loop")
 	flags.IntVar(&command.options.Outstanding, "outstanding", command.options.Outstanding, "outstanding drafts of an organisation at each of its entry daemons in a closed loop")
-	flags.IntVar(&command.options.LeastTokens, "least", command.options.LeastTokens, "minimum length of a draft in tokens")
-	flags.IntVar(&command.options.MostTokens, "most", command.options.MostTokens, "maximum length of a draft in tokens")
+	flags.IntVar(&command.options.MinTokens, "least", command.options.MinTokens, "minimum length of a draft in tokens")
+	flags.IntVar(&command.options.MaxTokens, "most", command.options.MaxTokens, "maximum length of a draft in tokens")
 	flags.BoolVar(&command.quiet, "quiet", false, "print no progress")
 }
 
--- a/cmd/berylspoke/path_test.go
+++ b/cmd/berylspoke/path_test.go
@@ -25,24 +25,24 @@
 
 	prompt := "An issue on the harvest. [tokens=30]"
 	var text strings.Builder
-	tokens, err := client.Stream(ctx, berylcall.GenerationRequest{Service: fleet.Plan.Model, Prompt: prompt}, func(piece string, _ berylspoke.Tokens) {
+	tokens, err := client.Stream(ctx, berylcall.GenerationRequest{Service: fleet.Plan.ModelService, Prompt: prompt}, func(piece string, _ berylspoke.Tokens) {
 		text.WriteString(piece)
 	})
 	require.NoError(t, err)
 	require.Equal(t, berylspoke.Tokens(30), tokens)
-	require.Equal(t, berylstand.Text(prompt, 0), text.String())
+	require.Equal(t, berylstand.OutputText(prompt, 0), text.String())
 
 	id, owner, err := client.NewID(ctx)
 	require.NoError(t, err)
-	first := client.CallOnce(ctx, fleet.Plan.Desk, "/bookings", id, owner, "text/plain", []byte("three hundred copies"))
-	second := client.CallOnce(ctx, fleet.Plan.Desk, "/bookings", id, owner, "text/plain", []byte("three hundred copies"))
+	first := client.CallOnce(ctx, fleet.Plan.PlainService, "/bookings", id, owner, "text/plain", []byte("three hundred copies"))
+	second := client.CallOnce(ctx, fleet.Plan.PlainService, "/bookings", id, owner, "text/plain", []byte("three hundred copies"))
 	require.NoError(t, first.Err)
 	require.Equal(t, first, second)
-	maxRuns, requests := fleet.Executions()
+	maxRuns, requests := fleet.ExecutionCounts()
 	require.Equal(t, 1, maxRuns)
 	require.Equal(t, 1, requests)
 
-	status := client.Get(ctx, fleet.Plan.Desk, "/addresses/12")
+	status := client.Get(ctx, fleet.Plan.PlainService, "/addresses/12")
 	require.NoError(t, status.Err)
 	require.Contains(t, string(status.Body), "filed")
 
--- a/cmd/berylspoke/plan.go
+++ b/cmd/berylspoke/plan.go
@@ -56,7 +56,7 @@
 		return fmt.Errorf("deployment %q is neither kitamine nor parish", command.deployment)
 	}
 	plan = plan.Scaled(command.scale)
-	plan.Base = command.base
+	plan.LoopbackNetwork = command.base
 	if err := os.MkdirAll(command.folder, 0o755); err != nil {
 		return errors.Wrap(err, "cannot create the folder")
 	}
--- a/cmd/berylspoke/process_test.go
+++ b/cmd/berylspoke/process_test.go
@@ -48,7 +48,7 @@
 
 // processFleet is a deployment whose daemons are separate processes.
 type processFleet struct {
-	*berylfleet.Stands
+	*berylfleet.Fakes
 	t        *testing.T
 	folder   string
 	running  map[berylspoke.VMID]*exec.Cmd
@@ -59,13 +59,13 @@
 // settings of each.
 func startProcesses(t *testing.T, plan berylfleet.Plan, change func(*berylsettings.Settings)) *processFleet {
 	t.Helper()
-	base, err := berylfleet.FindBase(60)
+	network, err := berylfleet.FindLoopbackNetwork(60)
 	require.NoError(t, err)
-	plan.Base = base
-	fakes, err := berylfleet.StartStands(plan)
+	plan.LoopbackNetwork = network
+	fakes, err := berylfleet.StartFakes(plan)
 	require.NoError(t, err)
 	fleet := &processFleet{
-		Stands: fakes, t: t, folder: t.TempDir(),
+		Fakes: fakes, t: t, folder: t.TempDir(),
 		running:  make(map[berylspoke.VMID]*exec.Cmd),
 		settings: make(map[berylspoke.VMID]*berylsettings.Settings),
 	}
@@ -120,7 +120,7 @@
 	for vm := range fleet.running {
 		fleet.kill(vm)
 	}
-	fleet.Stands.Close()
+	fleet.Fakes.Close()
 	if fleet.t.Failed() {
 		fleet.printLogs()
 	}
--- a/cmd/berylspoke/stand.go
+++ b/cmd/berylspoke/stand.go
@@ -61,7 +61,7 @@
 		go engine.Run(ctx)
 		handler = engine.Handler()
 	case "desk":
-		handler = berylstand.NewDesk(20 * time.Millisecond).Handler()
+		handler = berylstand.NewPlainTarget(20 * time.Millisecond).Handler()
 	default:
 		return fail(fmt.Errorf("kind %q is none of platform, engine, desk, deployment", command.kind))
 	}
@@ -86,8 +86,8 @@
 		return fail(fmt.Errorf("deployment %q is neither kitamine nor parish", command.deployment))
 	}
 	plan = plan.Scaled(command.scale)
-	plan.Base = command.base
-	fakes, err := berylfleet.StartStands(plan)
+	plan.LoopbackNetwork = command.base
+	fakes, err := berylfleet.StartFakes(plan)
 	if err != nil {
 		return fail(err)
 	}
@@ -97,8 +97,8 @@
 		return fail(err)
 	}
 	defer relays.Close()
-	fakes.Platform.SetVMs(relays.Advertised())
-	server, err := berylstand.Listen(fmt.Sprintf("127.%d.0.1:7001", plan.Base), faultHandler(relays))
+	fakes.Platform.SetVMs(relays.AdvertisedVMs())
+	server, err := berylstand.Listen(fmt.Sprintf("127.%d.0.1:7001", plan.LoopbackNetwork), faultHandler(relays))
 	if err != nil {
 		return fail(err)
 	}
@@ -109,7 +109,7 @@
 
 func faultHandler(relays *berylfleet.Relays) http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /cut", func(http.ResponseWriter, *http.Request) { relays.CutRegions() })
-	mux.HandleFunc("POST /mend", func(http.ResponseWriter, *http.Request) { relays.Mend() })
+	mux.HandleFunc("POST /cut", func(http.ResponseWriter, *http.Request) { relays.PartitionRegions() })
+	mux.HandleFunc("POST /mend", func(http.ResponseWriter, *http.Request) { relays.Heal() })
 	return mux
 }
--- a/io/berylfleet/embedded.go
+++ b/io/berylfleet/embedded.go
@@ -16,7 +16,7 @@
 
 // Embedded is a deployment in one process: fakes and daemons.
 type Embedded struct {
-	*Stands
+	*Fakes
 	Daemons map[berylspoke.VMID]*berylserve.Daemon
 	log     *zap.Logger
 	modify  func(*berylsettings.Settings)
@@ -25,11 +25,11 @@
 // StartEmbedded starts fakes and daemons; modify, if not nil, changes the settings of
 // each daemon.
 func StartEmbedded(plan Plan, log *zap.Logger, modify func(*berylsettings.Settings)) (*Embedded, error) {
-	fakes, err := StartStands(plan)
+	fakes, err := StartFakes(plan)
 	if err != nil {
 		return nil, err
 	}
-	fleet := &Embedded{Stands: fakes, Daemons: make(map[berylspoke.VMID]*berylserve.Daemon), log: log, modify: modify}
+	fleet := &Embedded{Fakes: fakes, Daemons: make(map[berylspoke.VMID]*berylserve.Daemon), log: log, modify: modify}
 	for _, vm := range plan.VMs() {
 		if err := fleet.StartDaemon(vm); err != nil {
 			fleet.Close()
@@ -82,5 +82,5 @@
 	for _, daemon := range fleet.Daemons {
 		daemon.Kill()
 	}
-	fleet.Stands.Close()
+	fleet.Fakes.Close()
 }
--- a/io/berylfleet/fakes.go
+++ b/io/berylfleet/fakes.go
@@ -13,24 +13,24 @@
 	"berylspoke/io/berylstand"
 )
 
-// Stands are the fakes around a fleet: the platform and the targets.
-type Stands struct {
-	Plan     Plan
-	Platform *berylstand.Platform
-	Engines  map[berylspoke.TargetID]*berylstand.Engine
-	Desks    map[berylspoke.TargetID]*berylstand.PlainTarget
-	servers  map[string]*berylstand.Server
-	stop     context.CancelFunc
+// Fakes are the fakes around a fleet: the platform and the targets.
+type Fakes struct {
+	Plan         Plan
+	Platform     *berylstand.Platform
+	Engines      map[berylspoke.TargetID]*berylstand.Engine
+	PlainTargets map[berylspoke.TargetID]*berylstand.PlainTarget
+	servers      map[string]*berylstand.Server
+	stop         context.CancelFunc
 }
 
-// StartStands starts the fakes of a plan and publishes its first patch.
-func StartStands(plan Plan) (*Stands, error) {
+// StartFakes starts the fakes of a plan and publishes its first patch.
+func StartFakes(plan Plan) (*Fakes, error) {
 	ctx, stop := context.WithCancel(context.Background())
-	fakes := &Stands{
+	fakes := &Fakes{
 		Plan: plan, Platform: berylstand.NewPlatform(), stop: stop,
-		Engines: make(map[berylspoke.TargetID]*berylstand.Engine),
-		Desks:   make(map[berylspoke.TargetID]*berylstand.PlainTarget),
-		servers: make(map[string]*berylstand.Server),
+		Engines:      make(map[berylspoke.TargetID]*berylstand.Engine),
+		PlainTargets: make(map[berylspoke.TargetID]*berylstand.PlainTarget),
+		servers:      make(map[string]*berylstand.Server),
 	}
 	if err := fakes.start(ctx); err != nil {
 		fakes.Close()
@@ -46,7 +46,7 @@
 	return fakes, nil
 }
 
-func (fakes *Stands) start(ctx context.Context) error {
+func (fakes *Fakes) start(ctx context.Context) error {
 	server, err := berylstand.Listen(fakes.Plan.PlatformAddress(), fakes.Platform.Handler())
 	if err != nil {
 		return err
@@ -60,17 +60,17 @@
 	return nil
 }
 
-func (fakes *Stands) startTarget(ctx context.Context, id berylspoke.TargetID, target berylconfig.Target) error {
+func (fakes *Fakes) startTarget(ctx context.Context, id berylspoke.TargetID, target berylconfig.Target) error {
 	var server *berylstand.Server
 	var err error
-	if target.Service == fakes.Plan.Model {
-		engine := berylstand.NewEngine(fakes.Plan.Engine)
+	if target.Service == fakes.Plan.ModelService {
+		engine := berylstand.NewEngine(fakes.Plan.EngineOptions)
 		fakes.Engines[id] = engine
 		go engine.Run(ctx)
 		server, err = berylstand.Listen(target.Address, engine.Handler())
 	} else {
-		plain := berylstand.NewDesk(fakes.Plan.DeskFor)
-		fakes.Desks[id] = plain
+		plain := berylstand.NewPlainTarget(fakes.Plan.PlainResponseTime)
+		fakes.PlainTargets[id] = plain
 		server, err = berylstand.Listen(target.Address, plain.Handler())
 	}
 	if err != nil {
@@ -80,25 +80,25 @@
 	return nil
 }
 
-// CloseTarget stops a target and closes its connections, as a crash does.
-func (fakes *Stands) CloseTarget(id berylspoke.TargetID) {
+// CrashTarget stops a target and closes its connections, as a crash does.
+func (fakes *Fakes) CrashTarget(id berylspoke.TargetID) {
 	if server := fakes.servers[string(id)]; server != nil {
 		server.Close()
 	}
 }
 
 // Close stops the fakes.
-func (fakes *Stands) Close() {
+func (fakes *Fakes) Close() {
 	fakes.stop()
 	for _, server := range fakes.servers {
 		server.Close()
 	}
 }
 
-// Executions returns the highest number of executions of one request at a target of
+// ExecutionCounts returns the highest number of executions of one request at a target of
 // the plain service and the number of requests executed.
-func (fakes *Stands) Executions() (highest, requests int) {
-	for _, plain := range fakes.Desks {
+func (fakes *Fakes) ExecutionCounts() (highest, requests int) {
+	for _, plain := range fakes.PlainTargets {
 		targetHighest, targetRequests := plain.ExecutionCounts()
 		highest = max(highest, targetHighest)
 		requests += targetRequests
--- a/io/berylfleet/plan.go
+++ b/io/berylfleet/plan.go
@@ -28,33 +28,34 @@
 
 // Plan describes a deployment.
 type Plan struct {
-	Name  string
-	Areas []DomainPlan
-	// Model is the id of the model service, Desk that of the plain service.
-	Model berylspoke.ServiceID
-	Desk  berylspoke.ServiceID
+	Name    string
+	Domains []DomainPlan
+	// ModelService is the id of the model service, PlainService that of the plain service.
+	ModelService berylspoke.ServiceID
+	PlainService berylspoke.ServiceID
 	// LargeOrganisations and SmallOrganisations are the numbers of organisations with a
 	// large and a small weight.
 	LargeOrganisations int
 	SmallOrganisations int
-	Engine             berylstand.EngineOptions
-	// DeskFor is the response time of the plain service.
-	DeskFor time.Duration
-	// Base is the second byte of the loopback addresses that the deployment uses.
-	Base int
+	EngineOptions      berylstand.EngineOptions
+	// PlainResponseTime is the response time of the plain service.
+	PlainResponseTime time.Duration
+	// LoopbackNetwork is the second byte of the loopback addresses that the deployment
+	// uses.
+	LoopbackNetwork int
 }
 
 // Kitamine returns the plan of the Grievance Letter Drafting Fleet.
 func Kitamine() Plan {
 	return Plan{
 		Name: "kitamine",
-		Areas: []DomainPlan{
+		Domains: []DomainPlan{
 			{"sapporo-a", "sapporo", 3, 4, 1},
 			{"sapporo-b", "sapporo", 3, 3, 1},
 			{"asahikawa-a", "asahikawa", 2, 2, 1},
 		},
-		Model: "drafting-models", Desk: "filing-desk", LargeOrganisations: 3, SmallOrganisations: 13,
-		Engine: berylstand.DefaultEngineOptions(), DeskFor: 20 * time.Millisecond,
+		ModelService: "drafting-models", PlainService: "filing-desk", LargeOrganisations: 3, SmallOrganisations: 13,
+		EngineOptions: berylstand.DefaultEngineOptions(), PlainResponseTime: 20 * time.Millisecond,
 	}
 }
 
@@ -62,13 +63,13 @@
 func Parish() Plan {
 	return Plan{
 		Name: "parish",
-		Areas: []DomainPlan{
+		Domains: []DomainPlan{
 			{"kgn-a", "kingston", 3, 7, 1},
 			{"kgn-b", "kingston", 3, 6, 1},
 			{"mbj-a", "montego", 2, 5, 1},
 		},
-		Model: "pen-servers", Desk: "post-desk", LargeOrganisations: 3, SmallOrganisations: 13,
-		Engine: berylstand.DefaultEngineOptions(), DeskFor: 20 * time.Millisecond,
+		ModelService: "pen-servers", PlainService: "post-desk", LargeOrganisations: 3, SmallOrganisations: 13,
+		EngineOptions: berylstand.DefaultEngineOptions(), PlainResponseTime: 20 * time.Millisecond,
 	}
 }
 
@@ -79,12 +80,12 @@
 
 // Scaled returns the plan with the numbers of VMs and targets multiplied by a factor.
 func (plan Plan) Scaled(factor int) Plan {
-	areas := make([]DomainPlan, len(plan.Areas))
-	for i, area := range plan.Areas {
-		area.VMs, area.Engines, area.PlainTargets = area.VMs*factor, area.Engines*factor, area.PlainTargets*factor
-		areas[i] = area
+	domains := make([]DomainPlan, len(plan.Domains))
+	for i, domain := range plan.Domains {
+		domain.VMs, domain.Engines, domain.PlainTargets = domain.VMs*factor, domain.Engines*factor, domain.PlainTargets*factor
+		domains[i] = domain
 	}
-	plan.Areas = areas
+	plan.Domains = domains
 	return plan
 }
 
@@ -98,9 +99,9 @@
 	largeWeight = 4
 )
 
-// FindBase returns the second byte of the first loopback network, from the given one on,
-// whose platform address is free.
-func FindBase(from int) (int, error) {
+// FindLoopbackNetwork returns the second byte of the first loopback network, from the
+// given one on, whose platform address is free.
+func FindLoopbackNetwork(from int) (int, error) {
 	for base := from; base < 250; base++ {
 		listener, err := net.Listen("tcp", fmt.Sprintf("127.%d.0.1:%d", base, platformPort))
 		if err == nil {
@@ -112,18 +113,18 @@
 
 // PlatformAddress returns the address of the fake platform.
 func (plan Plan) PlatformAddress() string {
-	return fmt.Sprintf("127.%d.0.1:%d", plan.Base, platformPort)
+	return fmt.Sprintf("127.%d.0.1:%d", plan.LoopbackNetwork, platformPort)
 }
 
 // VMs returns the VMs of the daemons.
 func (plan Plan) VMs() []berylspoke.VM {
 	var vms []berylspoke.VM
-	for _, area := range plan.Areas {
-		for i := range area.VMs {
-			host := fmt.Sprintf("127.%d.1.%d", plan.Base, len(vms)+1)
+	for _, domain := range plan.Domains {
+		for i := range domain.VMs {
+			host := fmt.Sprintf("127.%d.1.%d", plan.LoopbackNetwork, len(vms)+1)
 			vms = append(vms, berylspoke.VM{
-				ID:            berylspoke.VMID(fmt.Sprintf("%s-%d", area.Domain, i+1)),
-				FailureDomain: area.Domain,
+				ID:            berylspoke.VMID(fmt.Sprintf("%s-%d", domain.Domain, i+1)),
+				FailureDomain: domain.Domain,
 				PeerAddress:   fmt.Sprintf("%s:%d", host, peerPort),
 				CallAddress:   fmt.Sprintf("%s:%d", host, callPort),
 			})
@@ -163,13 +164,13 @@
 		FailureDomains: make(map[berylspoke.FailureDomain]*berylconfig.Domain),
 		Organisations:  make(map[berylspoke.OrganisationID]*berylconfig.Organisation),
 		Services: map[berylspoke.ServiceID]*berylconfig.Service{
-			plan.Model: {Kind: berylconfig.KindModel},
-			plan.Desk:  {Kind: berylconfig.KindPlain},
+			plan.ModelService: {Kind: berylconfig.KindModel},
+			plan.PlainService: {Kind: berylconfig.KindPlain},
 		},
 		Targets: make(map[berylspoke.TargetID]*berylconfig.Target),
 	}
-	for _, area := range plan.Areas {
-		patch.FailureDomains[area.Domain] = &berylconfig.Domain{Region: area.Region}
+	for _, domain := range plan.Domains {
+		patch.FailureDomains[domain.Domain] = &berylconfig.Domain{Region: domain.Region}
 	}
 	for _, id := range plan.Organisations() {
 		digest := sha256.Sum256([]byte(plan.Key(id)))
@@ -186,17 +187,17 @@
 // Targets returns the engines and the targets of the plain service.
 func (plan Plan) Targets() map[berylspoke.TargetID]berylconfig.Target {
 	targets := make(map[berylspoke.TargetID]berylconfig.Target)
-	add := func(service berylspoke.ServiceID, area DomainPlan, name string) {
-		id := berylspoke.TargetID(fmt.Sprintf("%s-%s", area.Domain, name))
-		address := fmt.Sprintf("127.%d.2.%d:%d", plan.Base, len(targets)+1, targetPort)
-		targets[id] = berylconfig.Target{Service: service, Address: address, FailureDomain: area.Domain}
+	add := func(service berylspoke.ServiceID, domain DomainPlan, name string) {
+		id := berylspoke.TargetID(fmt.Sprintf("%s-%s", domain.Domain, name))
+		address := fmt.Sprintf("127.%d.2.%d:%d", plan.LoopbackNetwork, len(targets)+1, targetPort)
+		targets[id] = berylconfig.Target{Service: service, Address: address, FailureDomain: domain.Domain}
 	}
-	for _, area := range plan.Areas {
-		for i := range area.Engines {
-			add(plan.Model, area, fmt.Sprintf("engine-%d", i+1))
+	for _, domain := range plan.Domains {
+		for i := range domain.Engines {
+			add(plan.ModelService, domain, fmt.Sprintf("engine-%d", i+1))
 		}
-		for i := range area.PlainTargets {
-			add(plan.Desk, area, fmt.Sprintf("desk-%d", i+1))
+		for i := range domain.PlainTargets {
+			add(plan.PlainService, domain, fmt.Sprintf("desk-%d", i+1))
 		}
 	}
 	return targets
--- a/io/berylfleet/relays.go
+++ b/io/berylfleet/relays.go
@@ -22,10 +22,10 @@
 }
 
 // StartRelays starts a relay for each VM of the plan. Daemons use the relays if the
-// platform publishes the VMs that Advertised returns.
+// platform publishes the VMs that AdvertisedVMs returns.
 func StartRelays(plan Plan) (*Relays, error) {
 	relays := &Relays{plan: plan, vms: make(map[string]berylspoke.VM)}
-	relays.Mend()
+	relays.Heal()
 	for i, vm := range plan.VMs() {
 		host, _, _ := net.SplitHostPort(vm.PeerAddress)
 		relays.vms[host] = vm
@@ -41,11 +41,11 @@
 
 // listenAddress returns the address of a relay.
 func (relays *Relays) listenAddress(index int) string {
-	return fmt.Sprintf("127.%d.3.%d:%d", relays.plan.Base, index+1, peerPort)
+	return fmt.Sprintf("127.%d.3.%d:%d", relays.plan.LoopbackNetwork, index+1, peerPort)
 }
 
-// Advertised returns the VMs with the addresses of their relays as peer addresses.
-func (relays *Relays) Advertised() []berylspoke.VM {
+// AdvertisedVMs returns the VMs with the addresses of their relays as peer addresses.
+func (relays *Relays) AdvertisedVMs() []berylspoke.VM {
 	vms := relays.plan.VMs()
 	for i := range vms {
 		vms[i].PeerAddress = relays.listenAddress(i)
@@ -66,17 +66,17 @@
 	relays.partitioned = partitioned
 }
 
-// CutRegions drops all packets between regions.
-func (relays *Relays) CutRegions() {
+// PartitionRegions drops all packets between regions.
+func (relays *Relays) PartitionRegions() {
 	regions := make(map[berylspoke.FailureDomain]berylspoke.Region)
-	for _, area := range relays.plan.Areas {
-		regions[area.Domain] = area.Region
+	for _, domain := range relays.plan.Domains {
+		regions[domain.Domain] = domain.Region
 	}
 	relays.SetPartition(func(from, to berylspoke.VM) bool { return regions[from.FailureDomain] != regions[to.FailureDomain] })
 }
 
-// Mend ends the partition: all packets pass.
-func (relays *Relays) Mend() {
+// Heal ends the partition: all packets pass.
+func (relays *Relays) Heal() {
 	relays.SetPartition(func(berylspoke.VM, berylspoke.VM) bool { return false })
 }
 
--- a/io/berylload/fleet.go
+++ b/io/berylload/fleet.go
@@ -41,7 +41,7 @@
 
 // FromPlan returns the description of the fleet of a plan.
 func FromPlan(plan berylfleet.Plan) Fleet {
-	fleet := Fleet{OperatorToken: berylfleet.OperatorToken, ModelService: plan.Model, PlainService: plan.Desk}
+	fleet := Fleet{OperatorToken: berylfleet.OperatorToken, ModelService: plan.ModelService, PlainService: plan.PlainService}
 	for _, vm := range plan.VMs() {
 		fleet.Entries = append(fleet.Entries, Entry{vm.ID, vm.CallAddress, plan.Settings(vm).OperatorAddress})
 	}
@@ -49,7 +49,7 @@
 		fleet.Organisations = append(fleet.Organisations, Organisation{id, plan.Key(id), plan.Weight(id)})
 	}
 	for id, target := range plan.Targets() {
-		if target.Service == plan.Model {
+		if target.Service == plan.ModelService {
 			fleet.Engines = append(fleet.Engines, Engine{id, target.Address})
 		}
 	}
--- a/io/berylload/run.go
+++ b/io/berylload/run.go
@@ -36,10 +36,11 @@
 	Warmup   time.Duration
 	Measure  time.Duration
 	Seed     uint64
-	// LeastTokens and MostTokens bound the generated tokens of a request.
-	LeastTokens, MostTokens int
-	// Rate is the number of requests a second of all organisations in an open loop.
-	Rate float64
+	// MinTokens and MaxTokens bound the generated tokens of a request.
+	MinTokens, MaxTokens int
+	// RequestsPerSecond is the number of requests a second of all organisations in an
+	// open loop.
+	RequestsPerSecond float64
 	// Outstanding is the number of requests that an organisation of weight 1
 	// keeps at each of its entries in a closed loop.
 	Outstanding int
@@ -51,7 +52,7 @@
 func DefaultOptions() Options {
 	return Options{
 		Scenario: Backlog, Warmup: 15 * time.Second, Measure: 45 * time.Second, Seed: 1,
-		LeastTokens: 30, MostTokens: 250, Rate: 5, Outstanding: 8,
+		MinTokens: 30, MaxTokens: 250, RequestsPerSecond: 5, Outstanding: 8,
 	}
 }
 
@@ -177,7 +178,7 @@
 	}
 	for ctx.Err() == nil {
 		run.mutex.Lock()
-		wait := time.Duration(run.random.ExpFloat64() / run.options.Rate * float64(time.Second))
+		wait := time.Duration(run.random.ExpFloat64() / run.options.RequestsPerSecond * float64(time.Second))
 		pick := berylspoke.Weight(run.random.Int64N(int64(total)))
 		run.mutex.Unlock()
 		select {
@@ -221,7 +222,7 @@
 func (run *run) generate(ctx context.Context, callers *organisationCallers, client *berylcall.Client) {
 	run.mutex.Lock()
 	run.serial++
-	length := run.options.LeastTokens + run.random.IntN(run.options.MostTokens-run.options.LeastTokens+1)
+	length := run.options.MinTokens + run.random.IntN(run.options.MaxTokens-run.options.MinTokens+1)
 	hint := int(float64(length) * (0.5 + run.random.Float64()))
 	prompt := fmt.Sprintf("%s asks %d. %s[tokens=%d]", callers.organisation.ID, run.serial, strings.Repeat("facts ", run.random.IntN(40)), length)
 	run.mutex.Unlock()
--- a/io/berylpeer/peer_test.go
+++ b/io/berylpeer/peer_test.go
@@ -178,7 +178,7 @@
 		return inbox.contains(berylconfig.PullRequest{After: number})
 	}
 	require.Eventually(t, arrives, testTimeout, 10*time.Millisecond)
-	require.Positive(t, relay.Forget())
+	require.Positive(t, relay.Blackhole())
 	require.Eventually(t, arrives, testTimeout, 10*time.Millisecond, "messages arrive again")
 }
 
--- a/io/berylstand/engine.go
+++ b/io/berylstand/engine.go
@@ -156,8 +156,8 @@
 	return fmt.Sprintf("w%d ", xxhash.Sum64String(fmt.Sprintf("%s#%d", prompt, index))%10000)
 }
 
-// Text returns the whole text generated for a prompt.
-func Text(prompt string, maxTokens int64) string {
+// OutputText returns the whole text generated for a prompt.
+func OutputText(prompt string, maxTokens int64) string {
 	var text strings.Builder
 	for index := range OutputLength(prompt, maxTokens) {
 		text.WriteString(OutputToken(prompt, index))
@@ -330,8 +330,8 @@
 	writeJSON(writer, engine.order)
 }
 
-// Held returns the last order accepted.
-func (engine *Engine) Held() berylspoke.EngineOrder {
+// CurrentOrder returns the last order accepted.
+func (engine *Engine) CurrentOrder() berylspoke.EngineOrder {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
 	return engine.order
--- a/io/berylstand/packetrelay.go
+++ b/io/berylstand/packetrelay.go
@@ -110,10 +110,10 @@
 	return relay.blackholed[sender.String()]
 }
 
-// Forget drops from now on all packets from and to the present senders' ports, as a
+// Blackhole drops from now on all packets from and to the present senders' ports, as a
 // middlebox does that has lost the state of their flows; other ports are not affected.
 // It returns the number of these ports.
-func (relay *PacketRelay) Forget() int {
+func (relay *PacketRelay) Blackhole() int {
 	relay.mutex.Lock()
 	defer relay.mutex.Unlock()
 	for sender := range relay.sessions {
--- a/io/berylstand/plaintarget.go
+++ b/io/berylstand/plaintarget.go
@@ -20,8 +20,8 @@
 	running    int
 }
 
-// NewDesk returns a target that responds to each call after a delay.
-func NewDesk(delay time.Duration) *PlainTarget {
+// NewPlainTarget returns a target that responds to each call after a delay.
+func NewPlainTarget(delay time.Duration) *PlainTarget {
 	return &PlainTarget{delay: delay, executions: make(map[string]int)}
 }
 
--- a/io/berylstand/platform.go
+++ b/io/berylstand/platform.go
@@ -64,8 +64,8 @@
 	return number
 }
 
-// ShowOnly makes the platform stale: readers see only the first patches.
-func (platform *Platform) ShowOnly(count int) {
+// SetVisiblePatches makes the platform stale: readers see only the first patches.
+func (platform *Platform) SetVisiblePatches(count int) {
 	platform.mutex.Lock()
 	defer platform.mutex.Unlock()
 	platform.visible = min(count, len(platform.patches))
--- a/io/berylstand/streamrelay.go
+++ b/io/berylstand/streamrelay.go
@@ -12,13 +12,13 @@
 	"github.com/pkg/errors"
 )
 
-// Harm is the impairment of the connections through a relay.
-type Harm struct {
+// Impairment is the impairment of the connections through a relay.
+type Impairment struct {
 	// Delay is added before each chunk of data is forwarded.
 	Delay time.Duration
-	// SwallowForth and SwallowBack drop the data towards the upstream address and from
+	// DropForward and DropBackward drop the data towards the upstream address and from
 	// it, without an error at either end.
-	SwallowForth, SwallowBack bool
+	DropForward, DropBackward bool
 	// Refuse resets new connections.
 	Refuse bool
 }
@@ -29,7 +29,7 @@
 type StreamRelay struct {
 	listener   net.Listener
 	upstream   string
-	impairment atomic.Pointer[Harm]
+	impairment atomic.Pointer[Impairment]
 	mutex      sync.Mutex
 	pairs      map[*connPair]bool
 }
@@ -48,7 +48,7 @@
 		return nil, errors.Wrap(err, "relay cannot listen")
 	}
 	relay := &StreamRelay{listener: listener, upstream: upstream, pairs: make(map[*connPair]bool)}
-	relay.impairment.Store(new(Harm))
+	relay.impairment.Store(new(Impairment))
 	go relay.accept()
 	return relay, nil
 }
@@ -56,8 +56,8 @@
 // Address returns the listen address.
 func (relay *StreamRelay) Address() string { return relay.listener.Addr().String() }
 
-// SetHarm sets the impairment of all connections, open and new.
-func (relay *StreamRelay) SetHarm(impairment Harm) { relay.impairment.Store(&impairment) }
+// SetImpairment sets the impairment of all connections, open and new.
+func (relay *StreamRelay) SetImpairment(impairment Impairment) { relay.impairment.Store(&impairment) }
 
 func (relay *StreamRelay) accept() {
 	for {
@@ -86,10 +86,10 @@
 func (pair *connPair) run() {
 	done := make(chan struct{})
 	go func() {
-		pair.pipe(pair.downstream, pair.upstream, func(impairment *Harm) bool { return impairment.SwallowForth })
+		pair.pipe(pair.downstream, pair.upstream, func(impairment *Impairment) bool { return impairment.DropForward })
 		close(done)
 	}()
-	pair.pipe(pair.upstream, pair.downstream, func(impairment *Harm) bool { return impairment.SwallowBack })
+	pair.pipe(pair.upstream, pair.downstream, func(impairment *Impairment) bool { return impairment.DropBackward })
 	<-done
 	_ = pair.downstream.Close()
 	_ = pair.upstream.Close()
@@ -100,7 +100,7 @@
 
 // pipe copies one direction until it ends. If data is dropped it continues to read but
 // forwards nothing, not even the end.
-func (pair *connPair) pipe(from, to net.Conn, drops func(*Harm) bool) {
+func (pair *connPair) pipe(from, to net.Conn, drops func(*Impairment) bool) {
 	buffer := make([]byte, 32<<10)
 	dropping := false
 	for {
@@ -151,8 +151,8 @@
 	return len(relay.pairs)
 }
 
-// Forget drops all further data of the open connections and returns their number.
-func (relay *StreamRelay) Forget() int {
+// Blackhole drops all further data of the open connections and returns their number.
+func (relay *StreamRelay) Blackhole() int {
 	relay.mutex.Lock()
 	defer relay.mutex.Unlock()
 	for pair := range relay.pairs {
--- a/soak/control_test.go
+++ b/soak/control_test.go
@@ -56,7 +56,7 @@
 	b.Helper()
 	sums := make(map[string]float64)
 	for _, process := range world.processes {
-		response, err := http.Get("http://" + process.vm.Operators() + "/metrics")
+		response, err := http.Get("http://" + process.vm.OperatorsAddress() + "/metrics")
 		require.NoError(b, err)
 		for lines := bufio.NewScanner(response.Body); lines.Scan(); {
 			name, text, _ := strings.Cut(lines.Text(), " ")
--- a/soak/cost_test.go
+++ b/soak/cost_test.go
@@ -20,20 +20,20 @@
 // BenchmarkDraft measures the user and system CPU time of one daemon for a draft of
 // twelve events. Callers keep their connections; the targets are fakes in this process.
 func BenchmarkDraft(b *testing.B) {
-	benchmarkRequests(b, beryldouble.Ask{
-		Host: "h.example", Path: pathDraft, Key: callerKey(0, 0), Method: http.MethodPost, TimeLeft: 8 * time.Second,
-		Body: 3000, Input: 3000, Output: 96, Parts: "a:700,b:700,c:1600",
+	benchmarkRequests(b, beryldouble.Request{
+		Host: "h.example", Path: pathDraft, APIKey: callerKey(0, 0), Method: http.MethodPost, TimeRemaining: 8 * time.Second,
+		BodyBytes: 3000, InputTokens: 3000, OutputTokens: 96, Segments: "a:700,b:700,c:1600",
 	}, 30)
 }
 
 // BenchmarkLook measures the same for a short request without a stream.
 func BenchmarkLook(b *testing.B) {
-	benchmarkRequests(b, beryldouble.Ask{
-		Host: "h.example", Path: pathLook, Key: callerKey(0, 0), Method: http.MethodGet, TimeLeft: 3 * time.Second,
+	benchmarkRequests(b, beryldouble.Request{
+		Host: "h.example", Path: pathLook, APIKey: callerKey(0, 0), Method: http.MethodGet, TimeRemaining: 3 * time.Second,
 	}, 10)
 }
 
-func benchmarkRequests(b *testing.B, request beryldouble.Ask, parallel int) {
+func benchmarkRequests(b *testing.B, request beryldouble.Request, parallel int) {
 	world, err := NewWorld(program, b.TempDir(), Size{VMs: 1, Engines: 30, Desks: 10, MemoryMB: 184})
 	if world != nil {
 		defer world.Close()
@@ -51,7 +51,7 @@
 				numbered := request
 				numbered.ID = fmt.Sprintf("bench-%d", job)
 				world.judge.recordSent(numbered.ID, &attempt{path: request.Path, organisation: organisationName(0)})
-				if answer := caller.Send(context.Background(), process.vm.Callers(), numbered); !answer.Served() {
+				if answer := caller.Send(context.Background(), process.vm.CallersAddress(), numbered); !answer.Succeeded() {
 					failed.Add(1)
 				}
 			}
--- a/soak/declared.go
+++ b/soak/declared.go
@@ -38,18 +38,18 @@
 func (world *World) publish(state configState) error {
 	world.version++
 	configuration := beryldouble.Configuration{
-		Version: world.version, Host: "h.example", Throughput: 400_000,
-		Services: []beryldouble.Service{{Name: engineService, Slots: 16, Memory: 400_000, Event: 8}, {Name: deskService}},
+		Version: world.version, Host: "h.example", TokensPerSecond: 400_000,
+		Services: []beryldouble.Service{{Name: engineService, Slots: 16, CacheCapacity: 400_000, EventTokens: 8}, {Name: deskService}},
 		Routes: []beryldouble.Route{
-			{Name: "draft", Prefix: pathDraft, Kind: "streaming", Service: engineService, TimeoutMillis: 8000, ObjectiveMillis: 800, Attempts: 1},
-			{Name: "resume", Prefix: pathResume, Kind: "streaming", Service: engineService, TimeoutMillis: 8000, ObjectiveMillis: 800, Attempts: 3, Resumable: true},
-			{Name: "book", Prefix: pathBook, Kind: "non_idempotent", Service: deskService, TimeoutMillis: 3000, ObjectiveMillis: 300, Attempts: 1},
-			{Name: "look", Prefix: pathLook, Kind: "idempotent", Service: deskService, TimeoutMillis: 3000, ObjectiveMillis: 300, Attempts: 2},
+			{Name: "draft", Prefix: pathDraft, Kind: "streaming", Service: engineService, TimeoutMillis: 8000, FirstByteObjectiveMillis: 800, MaxAttempts: 1},
+			{Name: "resume", Prefix: pathResume, Kind: "streaming", Service: engineService, TimeoutMillis: 8000, FirstByteObjectiveMillis: 800, MaxAttempts: 3, Resumable: true},
+			{Name: "book", Prefix: pathBook, Kind: "non_idempotent", Service: deskService, TimeoutMillis: 3000, FirstByteObjectiveMillis: 300, MaxAttempts: 1},
+			{Name: "look", Prefix: pathLook, Kind: "idempotent", Service: deskService, TimeoutMillis: 3000, FirstByteObjectiveMillis: 300, MaxAttempts: 2},
 		},
 	}
 	if state.addedRoute {
 		configuration.Routes = append(configuration.Routes, beryldouble.Route{
-			Name: "added", Prefix: pathAdded, Kind: "idempotent", Service: deskService, TimeoutMillis: 3000, ObjectiveMillis: 300, Attempts: 2,
+			Name: "added", Prefix: pathAdded, Kind: "idempotent", Service: deskService, TimeoutMillis: 3000, FirstByteObjectiveMillis: 300, MaxAttempts: 2,
 		})
 	}
 	for i := range organisationCount {
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -47,20 +47,22 @@
 	{"herdKill", false, func(world *World, step step) { world.killHalf(step) }},
 	{"pause", false, func(world *World, step step) { world.suspend(world.process(step), step.duration) }},
 	{"resetCallers", false, func(world *World, step step) { world.process(step).callers.Reset() }},
-	{"silenceCallers", false, func(world *World, step step) { world.process(step).callers.Forget() }},
-	{"slowStore", false, func(world *World, step step) { world.impairStore(step, berylstand.Harm{Delay: 300 * time.Millisecond}) }},
-	{"refuseStore", false, func(world *World, step step) { world.impairStore(step, berylstand.Harm{Refuse: true}) }},
-	{"cutStoreForth", false, func(world *World, step step) { world.impairStore(step, berylstand.Harm{SwallowForth: true}) }},
-	{"cutStoreBack", false, func(world *World, step step) { world.impairStore(step, berylstand.Harm{SwallowBack: true}) }},
-	{"silenceStore", false, func(world *World, step step) { world.process(step).store.Forget() }},
-	{"loseHistory", false, func(world *World, step step) { world.store.Forget() }},
+	{"silenceCallers", false, func(world *World, step step) { world.process(step).callers.Blackhole() }},
+	{"slowStore", false, func(world *World, step step) {
+		world.impairStore(step, berylstand.Impairment{Delay: 300 * time.Millisecond})
+	}},
+	{"refuseStore", false, func(world *World, step step) { world.impairStore(step, berylstand.Impairment{Refuse: true}) }},
+	{"cutStoreForth", false, func(world *World, step step) { world.impairStore(step, berylstand.Impairment{DropForward: true}) }},
+	{"cutStoreBack", false, func(world *World, step step) { world.impairStore(step, berylstand.Impairment{DropBackward: true}) }},
+	{"silenceStore", false, func(world *World, step step) { world.process(step).store.Blackhole() }},
+	{"loseHistory", false, func(world *World, step step) { world.store.Compact() }},
 	{"slowTarget", false, func(world *World, step step) {
-		world.impairTarget(step, berylstand.Harm{Delay: 200 * time.Millisecond})
+		world.impairTarget(step, berylstand.Impairment{Delay: 200 * time.Millisecond})
 	}},
-	{"cutTargetForth", false, func(world *World, step step) { world.impairTarget(step, berylstand.Harm{SwallowForth: true}) }},
-	{"cutTargetBack", false, func(world *World, step step) { world.impairTarget(step, berylstand.Harm{SwallowBack: true}) }},
+	{"cutTargetForth", false, func(world *World, step step) { world.impairTarget(step, berylstand.Impairment{DropForward: true}) }},
+	{"cutTargetBack", false, func(world *World, step step) { world.impairTarget(step, berylstand.Impairment{DropBackward: true}) }},
 	{"resetTarget", false, func(world *World, step step) { world.target(step).relay.Reset() }},
-	{"silenceTarget", false, func(world *World, step step) { world.target(step).relay.Forget() }},
+	{"silenceTarget", false, func(world *World, step step) { world.target(step).relay.Blackhole() }},
 	{"hangTarget", false, func(world *World, step step) { world.hangTarget(step) }},
 	{"crashTarget", false, func(world *World, step step) { world.crashTarget(step) }},
 }
@@ -153,11 +155,11 @@
 	if chosen == nil {
 		return
 	}
-	chosen.Leave()
+	chosen.Drain()
 	world.judge.recordDraining(chosen.ID(), time.Now())
 	const drainDuration = drainGracePeriod + 2*time.Second
 	time.Sleep(drainDuration)
-	chosen.Withdraw()
+	chosen.Deregister()
 	chosen.relay.Close()
 }
 
@@ -178,31 +180,31 @@
 // hangTarget makes a target accept requests without answering for a while.
 func (world *World) hangTarget(step step) {
 	chosen := world.target(step)
-	chosen.Silence(true)
+	chosen.SetHanging(true)
 	time.Sleep(step.duration)
-	chosen.Silence(false)
+	chosen.SetHanging(false)
 }
 
-func (world *World) impairTarget(step step, impairment berylstand.Harm) {
+func (world *World) impairTarget(step step, impairment berylstand.Impairment) {
 	chosen := world.target(step)
-	chosen.relay.SetHarm(impairment)
+	chosen.relay.SetImpairment(impairment)
 	time.Sleep(step.duration)
-	chosen.relay.SetHarm(berylstand.Harm{})
+	chosen.relay.SetImpairment(berylstand.Impairment{})
 }
 
 // impairStore impairs the connections of one process to the store, or of all.
-func (world *World) impairStore(step step, impairment berylstand.Harm) {
+func (world *World) impairStore(step step, impairment berylstand.Impairment) {
 	impaired := []*process{world.process(step)}
 	if step.chance < allProcessesProbability {
 		impaired = world.processes
 		world.judge.recordStoreOutage(time.Now().Add(step.duration))
 	}
 	for _, process := range impaired {
-		process.store.SetHarm(impairment)
+		process.store.SetImpairment(impairment)
 	}
 	time.Sleep(step.duration)
 	for _, process := range impaired {
-		process.store.SetHarm(berylstand.Harm{})
+		process.store.SetImpairment(berylstand.Impairment{})
 	}
 }
 
--- a/soak/judge.go
+++ b/soak/judge.go
@@ -42,7 +42,7 @@
 	sent       time.Time
 	runs       []beryldouble.Run
 	answered   bool
-	answer     beryldouble.Answer
+	answer     beryldouble.Result
 	// planned is set if no unplanned fault had started when the attempt was sent.
 	planned bool
 }
@@ -139,53 +139,53 @@
 func (judge *Judge) recordRun(run beryldouble.Run) {
 	judge.mutex.Lock()
 	defer judge.mutex.Unlock()
-	attempt := judge.attempts[run.Request]
+	attempt := judge.attempts[run.RequestID]
 	if attempt == nil {
-		judge.addViolation("only sent requests run", "%s ran %q", run.Target, run.Request)
+		judge.addViolation("only sent requests run", "%s ran %q", run.Target, run.RequestID)
 		return
 	}
 	attempt.runs = append(attempt.runs, run)
 	if run.Organisation != attempt.organisation || run.Path != attempt.path {
-		judge.addViolation("runs as sent", "%s ran for %s at path %s, sent by %s to path %s", run.Request, run.Organisation, run.Path, attempt.organisation, attempt.path)
+		judge.addViolation("runs as sent", "%s ran for %s at path %s, sent by %s to path %s", run.RequestID, run.Organisation, run.Path, attempt.organisation, attempt.path)
 	}
 	if len(attempt.runs) > 1 && !attempt.repeatable() {
-		judge.addViolation("runs at most once", "%s ran at %s and %s", run.Request, attempt.runs[0].Target, run.Target)
+		judge.addViolation("runs at most once", "%s ran at %s and %s", run.RequestID, attempt.runs[0].Target, run.Target)
 	}
-	if attempt.answered && attempt.answer.Promised() && !attempt.repeatable() {
-		judge.addViolation("no run after notRun", "%s was answered %d and then ran at %s", run.Request, attempt.answer.Status, run.Target)
+	if attempt.answered && attempt.answer.NotRun() && !attempt.repeatable() {
+		judge.addViolation("no run after notRun", "%s was answered %d and then ran at %s", run.RequestID, attempt.answer.Status, run.Target)
 	}
-	if at, draining := judge.drainingSince[run.Target]; draining && run.At.Sub(at) > drainGracePeriod && judge.storeOutageUntil.Before(at) {
-		judge.addViolation("no new request at a draining target", "%s ran at %s, which has been draining for %s", run.Request, run.Target, run.At.Sub(at))
+	if at, draining := judge.drainingSince[run.Target]; draining && run.Started.Sub(at) > drainGracePeriod && judge.storeOutageUntil.Before(at) {
+		judge.addViolation("no new request at a draining target", "%s ran at %s, which has been draining for %s", run.RequestID, run.Target, run.Started.Sub(at))
 	}
 }
 
 // recordAnswer records the end of an attempt at its caller.
-func (judge *Judge) recordAnswer(answer beryldouble.Answer) {
+func (judge *Judge) recordAnswer(answer beryldouble.Result) {
 	judge.mutex.Lock()
 	defer judge.mutex.Unlock()
-	attempt := judge.attempts[answer.Ask.ID]
+	attempt := judge.attempts[answer.Request.ID]
 	attempt.answered, attempt.answer = true, answer
 	judge.answerCounts[outcomeLabel(answer)]++
-	if answer.Served() {
+	if answer.Succeeded() {
 		judge.served++
 	}
-	if fault := answer.Fault(); fault != nil {
-		judge.addViolation("complete answer to the right request", "%v", fault)
+	if err := answer.Verify(); err != nil {
+		judge.addViolation("complete answer to the right request", "%v", err)
 	}
-	if answer.Promised() && len(attempt.runs) > 0 && !attempt.repeatable() {
-		judge.addViolation("no run before notRun", "%s ran at %s and was then answered %d", answer.Ask.ID, attempt.runs[0].Target, answer.Status)
+	if answer.NotRun() && len(attempt.runs) > 0 && !attempt.repeatable() {
+		judge.addViolation("no run before notRun", "%s ran at %s and was then answered %d", answer.Request.ID, attempt.runs[0].Target, answer.Status)
 	}
 	// A caller whose own deadline has passed cut the request itself. On a CPU-starved
 	// machine this happens without a fault of the fleet.
 	cut := answer.Err != nil && !errors.Is(answer.Err, context.DeadlineExceeded)
 	if cut && attempt.planned && !judge.unplanned && len(attempt.runs) > 0 {
-		judge.addViolation("planned operations cut no request", "%s ran at %s and failed: %v", answer.Ask.ID, attempt.runs[0].Target, answer.Err)
+		judge.addViolation("planned operations cut no request", "%s ran at %s and failed: %v", answer.Request.ID, attempt.runs[0].Target, answer.Err)
 	}
 	judge.checkConfiguration(attempt, answer)
 }
 
 // outcomeLabel returns the label of an answer in the summary.
-func outcomeLabel(answer beryldouble.Answer) string {
+func outcomeLabel(answer beryldouble.Result) string {
 	switch {
 	case answer.Status == 0:
 		return "no answer"
@@ -198,17 +198,17 @@
 
 // checkConfiguration compares an answer with what the same run of a process showed
 // before the request was sent: a process never returns to an older configuration.
-func (judge *Judge) checkConfiguration(attempt *attempt, answer beryldouble.Answer) {
+func (judge *Judge) checkConfiguration(attempt *attempt, answer beryldouble.Result) {
 	observed := judge.observed[attempt.processRun]
 	addedRoute, revocable := strings.HasPrefix(attempt.path, pathAdded), revokedIndex(attempt.path)
 	if addedRoute && answer.Status == http.StatusNotFound && observed.addedRoute.before(attempt.sent) {
 		judge.addViolation("configuration never reverts", "%s no longer knows the added route", attempt.processRun)
 	}
-	if answer.Served() && observed.revokedKeys[revocable].before(attempt.sent) {
+	if answer.Succeeded() && observed.revokedKeys[revocable].before(attempt.sent) {
 		judge.addViolation("configuration never reverts", "%s accepts a revoked key again", attempt.processRun)
 	}
 	switch {
-	case addedRoute && answer.Served():
+	case addedRoute && answer.Succeeded():
 		observed.addedRoute = observed.addedRoute.or(answer.Ended)
 	case answer.Status == http.StatusUnauthorized:
 		observed.revokedKeys[revocable] = observed.revokedKeys[revocable].or(answer.Ended)
--- a/soak/judge_test.go
+++ b/soak/judge_test.go
@@ -23,14 +23,14 @@
 
 func runEvent(id, path, target string) event {
 	return func(judge *Judge, now time.Time) {
-		judge.recordRun(beryldouble.Run{Request: id, Organisation: "o", Path: path, Target: target, At: now})
+		judge.recordRun(beryldouble.Run{RequestID: id, Organisation: "o", Path: path, Target: target, Started: now})
 	}
 }
 
 func answerEvent(id string, status int, sealed bool, body string, err error) event {
 	return func(judge *Judge, now time.Time) {
-		judge.recordAnswer(beryldouble.Answer{
-			Ask: beryldouble.Ask{ID: id}, Status: status, Sealed: sealed, Body: []byte(body), Err: err, Ended: now,
+		judge.recordAnswer(beryldouble.Result{
+			Request: beryldouble.Request{ID: id}, Status: status, Sealed: sealed, Body: []byte(body), Err: err, Ended: now,
 		})
 	}
 }
--- a/soak/load.go
+++ b/soak/load.go
@@ -48,37 +48,37 @@
 }
 
 // nextRequest draws a request and the organisation that sends it.
-func (generator *generator) nextRequest() (beryldouble.Ask, string) {
+func (generator *generator) nextRequest() (beryldouble.Request, string) {
 	generator.requestCount++
 	organisation := generator.random.IntN(organisationCount)
-	request := beryldouble.Ask{
-		ID: fmt.Sprintf("%08x", generator.requestCount), Host: "h.example", Key: callerKey(organisation, 0),
-		Method: http.MethodPost, TimeLeft: 8 * time.Second,
+	request := beryldouble.Request{
+		ID: fmt.Sprintf("%08x", generator.requestCount), Host: "h.example", APIKey: callerKey(organisation, 0),
+		Method: http.MethodPost, TimeRemaining: 8 * time.Second,
 	}
 	session := generator.random.IntN(40)
 	switch kind := generator.random.IntN(20); {
 	case kind < 5:
-		request.Path, request.Body, request.Input, request.Output = pathDraft, 3000, 3000, 96
+		request.Path, request.BodyBytes, request.InputTokens, request.OutputTokens = pathDraft, 3000, 3000, 96
 	case kind < 9:
-		request.Path, request.Body, request.Input, request.Output = pathResume, 800, 800, 96
+		request.Path, request.BodyBytes, request.InputTokens, request.OutputTokens = pathResume, 800, 800, 96
 	case kind < 14:
-		request.Path, request.Body, request.TimeLeft = pathBook, 600, 3*time.Second
+		request.Path, request.BodyBytes, request.TimeRemaining = pathBook, 600, 3*time.Second
 	case kind < 17:
-		request.Path, request.Method, request.TimeLeft = pathLook, http.MethodGet, 3*time.Second
+		request.Path, request.Method, request.TimeRemaining = pathLook, http.MethodGet, 3*time.Second
 	case kind < 18:
-		request.Path, request.Method, request.TimeLeft = pathAdded, http.MethodGet, 3*time.Second
+		request.Path, request.Method, request.TimeRemaining = pathAdded, http.MethodGet, 3*time.Second
 	default:
-		request.Path, request.Method, request.TimeLeft = fmt.Sprintf("%s%s%d/", pathLook, revocableMarker, organisation), http.MethodGet, 3*time.Second
-		request.Key = callerKey(organisation, 1)
+		request.Path, request.Method, request.TimeRemaining = fmt.Sprintf("%s%s%d/", pathLook, revocableMarker, organisation), http.MethodGet, 3*time.Second
+		request.APIKey = callerKey(organisation, 1)
 	}
-	if request.Input > 0 {
-		request.Parts = fmt.Sprintf("a%x:%d,b%x:%d,c%s:%d", organisation, request.Input/4, session, request.Input/4, request.ID, request.Input/2)
+	if request.InputTokens > 0 {
+		request.Segments = fmt.Sprintf("a%x:%d,b%x:%d,c%s:%d", organisation, request.InputTokens/4, session, request.InputTokens/4, request.ID, request.InputTokens/2)
 	}
 	return request, organisationName(organisation)
 }
 
 // call sends a request and repeats it once if the protocol allows it after a failure.
-func (world *World) call(caller *beryldouble.Caller, request beryldouble.Ask, organisation string) {
+func (world *World) call(caller *beryldouble.Caller, request beryldouble.Request, organisation string) {
 	id := request.ID
 	for try := range 2 {
 		request.ID = fmt.Sprintf("%s-%d", id, try)
@@ -92,10 +92,10 @@
 		world.judge.recordSent(request.ID, attempt)
 		answer := caller.Send(ctx, address, request)
 		world.judge.recordAnswer(answer)
-		retry := answer.Promised() || !answer.Served() && attempt.repeatable() && !strings.HasPrefix(answer.Ask.Path, pathAdded)
+		retry := answer.NotRun() || !answer.Succeeded() && attempt.repeatable() && !strings.HasPrefix(answer.Request.Path, pathAdded)
 		if !retry {
 			return
 		}
-		time.Sleep(min(answer.Retry, time.Second))
+		time.Sleep(min(answer.RetryAfter, time.Second))
 	}
 }
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -61,7 +61,7 @@
 	}
 	running.Wait()
 	for _, process := range world.processes {
-		process.store.SetHarm(berylstand.Harm{})
+		process.store.SetImpairment(berylstand.Impairment{})
 	}
 }
 
@@ -99,23 +99,23 @@
 func (world *World) servesConfiguration(process *process, newest configState) bool {
 	caller := beryldouble.NewCaller(1, process.vm.FailureDomain, process.vm.Region, nil, nil)
 	defer caller.Close()
-	request := beryldouble.Ask{Host: "h.example", Method: http.MethodGet, TimeLeft: 3 * time.Second, Path: pathAdded, Key: callerKey(0, 0)}
+	request := beryldouble.Request{Host: "h.example", Method: http.MethodGet, TimeRemaining: 3 * time.Second, Path: pathAdded, APIKey: callerKey(0, 0)}
 	if newest.addedRoute && world.probe(caller, process, request).Status != http.StatusOK {
 		return false
 	}
 	if newest.revokedKeys == 0 {
 		return true
 	}
-	request.Path, request.Key = fmt.Sprintf("%s%s%d/", pathLook, revocableMarker, newest.revokedKeys-1), callerKey(newest.revokedKeys-1, 1)
+	request.Path, request.APIKey = fmt.Sprintf("%s%s%d/", pathLook, revocableMarker, newest.revokedKeys-1), callerKey(newest.revokedKeys-1, 1)
 	return world.probe(caller, process, request).Status == http.StatusUnauthorized
 }
 
 // probe sends a request directly to one process, without a relay.
-func (world *World) probe(caller *beryldouble.Caller, process *process, request beryldouble.Ask) beryldouble.Answer {
+func (world *World) probe(caller *beryldouble.Caller, process *process, request beryldouble.Request) beryldouble.Result {
 	request.ID = fmt.Sprintf("probe-%d", time.Now().UnixNano())
 	organisation := organisationName(max(revokedIndex(request.Path)%organisationCount, 0))
-	world.judge.recordSent(request.ID, &attempt{path: request.Path, organisation: organisation, processRun: world.currentRun(process.vm.Callers()), sent: time.Now()})
-	answer := caller.Send(context.Background(), process.vm.Callers(), request)
+	world.judge.recordSent(request.ID, &attempt{path: request.Path, organisation: organisation, processRun: world.currentRun(process.vm.CallersAddress()), sent: time.Now()})
+	answer := caller.Send(context.Background(), process.vm.CallersAddress(), request)
 	world.judge.recordAnswer(answer)
 	return answer
 }
--- a/soak/world.go
+++ b/soak/world.go
@@ -130,13 +130,13 @@
 	}
 	vm := beryldouble.VM{
 		Name: fmt.Sprintf("vm-%d", i+1), Host: host(i), FailureDomain: ownDomain.name, Region: ownDomain.region,
-		RegionOf: regions, StoreAddress: store.Address(), Base: basePort, Cores: 0.4,
+		RegionOf: regions, StoreAddress: store.Address(), BasePort: basePort, Cores: 0.4,
 		MemoryMB: world.size.MemoryMB, StopSeconds: stopSeconds,
 	}
 	for seed := range min(len(domains), world.size.VMs) {
 		vm.SeedHosts = append(vm.SeedHosts, host(seed))
 	}
-	callers, err := berylstand.NewStreamRelay("127.0.0.1:0", vm.Callers())
+	callers, err := berylstand.NewStreamRelay("127.0.0.1:0", vm.CallersAddress())
 	if err != nil {
 		return err
 	}
@@ -213,7 +213,7 @@
 // currentRun returns the name of the current run of the process at an address.
 func (world *World) currentRun(address string) string {
 	for _, process := range world.processes {
-		if process.vm.Callers() == address {
+		if process.vm.CallersAddress() == address {
 			process.mutex.Lock()
 			defer process.mutex.Unlock()
 			return fmt.Sprintf("%s run %d", process.vm.Name, process.runCount)
@@ -226,7 +226,7 @@
 func (world *World) awaitReady(processes []*process) error {
 	deadline := time.Now().Add(startTimeout)
 	for _, process := range processes {
-		for !process.vm.TakesRequests() {
+		for !process.vm.IsReady() {
 			if time.Now().After(deadline) {
 				return errors.Errorf("%s is not ready", process.vm.Name)
 			}
@@ -244,7 +244,7 @@
 	added := &target{service: service}
 	options := beryldouble.TargetOptions{
 		ID: fmt.Sprintf("t-%d", world.targetsStarted), Service: service, FailureDomain: domains[world.targetsStarted%len(domains)].name,
-		Slots: 8, Work: 20 * time.Millisecond,
+		Slots: 8, ProcessingTime: 20 * time.Millisecond,
 		Advertise: func(address string) string {
 			if added.relay == nil {
 				relay, err := berylstand.NewStreamRelay("127.0.0.1:0", address)
@@ -257,7 +257,7 @@
 		},
 	}
 	if service == engineService {
-		options.Slots, options.Events, options.Pause = 16, 12, 30*time.Millisecond
+		options.Slots, options.Events, options.EventInterval = 16, 12, 30*time.Millisecond
 	}
 	started, err := beryldouble.StartTarget(world.store, options, world.judge.recordRun)
 	if err != nil {
@@ -290,7 +290,7 @@
 // relayAddress returns the address of the relay in front of a daemon.
 func (world *World) relayAddress(address string) string {
 	for _, process := range world.processes {
-		if process.vm.Callers() == address {
+		if process.vm.CallersAddress() == address {
 			return process.callers.Address()
 		}
 	}
@@ -302,9 +302,9 @@
 	var near, far []string
 	for _, process := range world.processes {
 		if process.vm.FailureDomain == domain {
-			near = append(near, process.vm.Resolve())
+			near = append(near, process.vm.ResolveAddress())
 		} else {
-			far = append(far, process.vm.Resolve())
+			far = append(far, process.vm.ResolveAddress())
 		}
 	}
 	return append(near, far...)
