--- a/cmd/berylspoke/config_test.go
+++ b/cmd/berylspoke/config_test.go
@@ -145,9 +145,9 @@
 	require.Equal(t, before, fleet.Engines[draining].Stats().Tokens)
 }
 
-// Guards against a filing that runs after another daemon settled it as not run. The
+// Guards against a call that runs after another daemon settled it as not run. The
 // owner of the id freezes while the platform is down, twice in a row. The caller
-// settles at another daemon, and the filing that reaches the owner late does not run.
+// settles at another daemon, and the call that reaches the owner late does not run.
 func TestFrozenOwnerAndPlatformDownTogether(t *testing.T) {
 	fleet := startProcesses(t, berylfleet.Parish(), nil)
 	ctx := testContext(t)
--- a/cmd/berylspoke/faults_test.go
+++ b/cmd/berylspoke/faults_test.go
@@ -129,9 +129,9 @@
 	draft.wait(t)
 }
 
-// Guards against a filing that runs twice or is reported as not run when its owner
-// crashes while the desk processes it. Another daemon asks the witness, which issued
-// the permit, and answers that the filing may have run.
+// Guards against a non-idempotent call that runs twice or is reported as not run when its
+// owner crashes while the target processes it. Another daemon asks the witness, which
+// issued the permit, and answers that the call may have run.
 func TestFilingWhoseOwnerDies(t *testing.T) {
 	plan := berylfleet.Kitamine()
 	plan.PlainResponseTime = 3 * time.Second
@@ -170,10 +170,9 @@
 	return id, owner
 }
 
-// Guards against a filing that runs after it was settled as not run. Its owner freezes
-// before the filing reaches it, and the caller times out and settles at another daemon.
-// The owner resumes after every timeout, finds the filing in its socket and must not
-// run it.
+// Guards against a call that runs after it was settled as not run. Its owner freezes
+// before the call reaches it, and the caller times out and settles at another daemon. The
+// owner resumes after every timeout, finds the call in its socket and must not run it.
 func TestFilingAtFrozenOwner(t *testing.T) {
 	fleet := startProcesses(t, berylfleet.Kitamine(), nil)
 	ctx := testContext(t)
@@ -206,8 +205,8 @@
 }
 
 // Guards against a planned stop that cuts requests: a daemon drains while drafts stream
-// through it and completes them all, and serves a filing that arrives during the
-// notice period.
+// through it and completes them all, and serves a call that arrives during the notice
+// period.
 func TestPlannedStopCutsNoRequest(t *testing.T) {
 	fleet := startProcesses(t, berylfleet.Kitamine(), nil)
 	ctx := testContext(t)
--- a/core/berylnode/effects.go
+++ b/core/berylnode/effects.go
@@ -39,8 +39,8 @@
 
 // Settled tells io the outcome of an ID that it asked about with Settle.
 type Settled struct {
-	Token    uint64
-	Standing berylticket.Status
+	Token  uint64
+	Status berylticket.Status
 }
 
 // Order tells io to send an order to an engine.
--- a/core/berylnode/fleet_test.go
+++ b/core/berylnode/fleet_test.go
@@ -202,7 +202,7 @@
 		fleet.refused[refuse.Request] = refuse.Refusal
 	}
 	for _, settled := range effects.Settled {
-		fleet.settled[settled.Token] = settled.Standing
+		fleet.settled[settled.Token] = settled.Status
 	}
 }
 
--- a/io/beryledge/attempt.go
+++ b/io/beryledge/attempt.go
@@ -98,7 +98,7 @@
 
 // stillWanted reports whether a request is still to be sent once its connection is open.
 // Opening a connection takes over a second where packets are lost. Meanwhile the caller
-// may have disconnected, and the target may have announced that it leaves: a request
+// may have disconnected, and the target may have announced that it is draining: a request
 // that is sent after the other daemons have stopped sending would be run by a target
 // that is about to exit.
 func (call *call) stillWanted(target berylspoke.Target) bool {
--- a/io/beryledge/daemon_test.go
+++ b/io/beryledge/daemon_test.go
@@ -342,9 +342,9 @@
 	<-stopped
 }
 
-// Guards against a request that is sent to a target that has left: opening a connection
-// to it takes a second, as packets are lost, and meanwhile this daemon learns that the
-// target leaves. The request reached it later than any other daemon would have sent one.
+// Guards against a request that is sent to a draining target: opening a connection to it
+// takes a second, as packets are lost, and meanwhile this daemon learns that the target is
+// draining. The request reached it later than any other daemon would have sent one.
 // It must be tried at another target instead, as nothing was sent.
 func TestRequestIsNotSentToTargetThatLeftWhileConnecting(t *testing.T) {
 	leaving := newTestTarget(t, "d1", sealed(http.StatusOK, "left"))
--- a/io/beryledge/store_test.go
+++ b/io/beryledge/store_test.go
@@ -30,8 +30,8 @@
 	require.True(t, starting("other", false).mustWatch(feed, start))
 }
 
-// Guards against daemons that learn too late that an engine leaves: all watchers lose the
-// store just before it announces that. The other daemons could reach the store but did
+// Guards against daemons that learn too late that an engine is draining: all watchers lose
+// the store just before it announces that. The other daemons could reach the store but did
 // not read it for three seconds, as the watchers still reported a contact that they no
 // longer had, and requests reached the engine after it had gone. Each daemon must read
 // the store early enough to learn of the change within three seconds if the answer takes
@@ -78,7 +78,7 @@
 }
 
 // Guards against daemons that date a contact with the store later each time another
-// daemon passes it on, and so do not read the store while targets leave.
+// daemon passes it on, and so do not read the store while targets drain.
 func TestForwardedContactKeepsItsAge(t *testing.T) {
 	const bound, answer, daemons, latency = 3 * time.Second, 500 * time.Millisecond, 8, 40 * time.Millisecond
 	type delivery struct {
--- a/io/berylserve/actor.go
+++ b/io/berylserve/actor.go
@@ -186,7 +186,7 @@
 	}
 	for _, settled := range effects.Settled {
 		if waiter := runner.pendingSettles[settled.Token]; waiter != nil {
-			waiter <- settled.Standing
+			waiter <- settled.Status
 			delete(runner.pendingSettles, settled.Token)
 		}
 	}
