--- a/io/beryledge/daemon_test.go
+++ b/io/beryledge/daemon_test.go
@@ -264,7 +264,7 @@
 	})
 	daemon, _ := startServing(t, map[string]*testTarget{"engines": target})
 	ctx, cancel := context.WithCancel(context.Background())
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+daemon.settings.Callers+"/draft/x", strings.NewReader("prompt"))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+daemon.settings.CallersAddress+"/draft/x", strings.NewReader("prompt"))
 	require.NoError(t, err)
 	request.Host = "h.example"
 	request.Header = http.Header{"X-Id": {"id-1"}, "X-Key": {"k"}, "X-Left": {"9000"}}
@@ -342,9 +342,9 @@
 	<-stopped
 }
 
-// Guards against a request that is sent to a target that has left: opening a connection
-// to it takes a second, as packets are lost, and meanwhile this daemon learns that the
-// target leaves. The request reached it later than any other daemon would have sent one.
+// Guards against a request that is sent to a draining target: opening a connection to it
+// takes a second, as packets are lost, and meanwhile this daemon learns that the target is
+// draining. The request reached it later than any other daemon would have sent one.
 // It must be tried at another target instead, as nothing was sent.
 func TestRequestIsNotSentToTargetThatLeftWhileConnecting(t *testing.T) {
 	leaving := newTestTarget(t, "d1", sealed(http.StatusOK, "left"))
@@ -354,7 +354,7 @@
 		incoming: httptest.NewRequest(http.MethodPost, "/file/x", nil),
 		route:    &berylspoke.Route{Kind: berylspoke.NonIdempotent},
 		request: &berylgate.Request{
-			Service: "desk", Arrived: time.Now(), Objective: time.Minute, Deadline: time.Now().Add(time.Minute), Attempts: 1,
+			Service: "desk", Arrived: time.Now(), Objective: time.Minute, Deadline: time.Now().Add(time.Minute), MaxAttempts: 1,
 		},
 	}
 	decision := call.decide()
@@ -370,12 +370,12 @@
 // closed after the first-byte timeout.
 func TestFirstByteTimeoutIsNamedAsCause(t *testing.T) {
 	ctx, cancel := context.WithCancelCause(context.Background())
-	failure := &berylconn.Failure{Unsent: true, Cause: net.ErrClosed}
+	failure := &berylconn.SendError{Unsent: true, Cause: net.ErrClosed}
 	require.Equal(t, error(failure), withTimeoutCause(ctx, failure))
 	cancel(errFirstByteTimeout)
 	named := withTimeoutCause(ctx, failure)
 	require.ErrorContains(t, named, errFirstByteTimeout.Error())
-	var kept *berylconn.Failure
+	var kept *berylconn.SendError
 	require.ErrorAs(t, named, &kept, "the error no longer tells whether the request was sent")
 	require.True(t, kept.Unsent)
 }
--- a/io/berylserve/actor.go
+++ b/io/berylserve/actor.go
@@ -55,7 +55,7 @@
 	}
 	settle struct {
 		id    berylticket.CallID
-		reply chan berylticket.Standing
+		reply chan berylticket.Status
 	}
 	resolve struct {
 		organisation berylspoke.OrganisationID
@@ -64,7 +64,7 @@
 	loadReported struct {
 		target berylspoke.TargetID
 		report berylspoke.LoadReport
-		actual berylspoke.Order
+		actual berylspoke.EngineOrder
 	}
 	// inspect runs a function on the node, for the dump and for goroutines that need
 	// the state of the node.
@@ -97,7 +97,7 @@
 	daemon         *Daemon
 	node           *berylnode.Node
 	decisions      map[berylspoke.RequestID]chan decision
-	pendingSettles map[uint64]chan berylticket.Standing
+	pendingSettles map[uint64]chan berylticket.Status
 	vms            []berylspoke.VM
 	lastToken      uint64
 	flushScheduled bool
@@ -134,7 +134,7 @@
 	case finish:
 		runner.node.Finish(now, message.request, message.outcome)
 	case retry:
-		message.allowed <- runner.node.Retry(now)
+		message.allowed <- runner.node.AllowRetry(now)
 	case beginCall:
 		record, created := runner.node.BeginCall(now, message.id)
 		if record != nil {
@@ -150,8 +150,8 @@
 		addresses, ticket := runner.node.Resolve(message.organisation)
 		message.reply <- resolveReply{addresses, ticket}
 	case loadReported:
-		runner.node.Load(now, message.target, message.report)
-		runner.node.Compare(now, message.target, message.actual)
+		runner.node.HandleLoadReport(now, message.target, message.report)
+		runner.node.ReconcileEngine(now, message.target, message.actual)
 	case inspect:
 		message.visit(now, runner.node)
 		close(message.done)
@@ -173,7 +173,7 @@
 
 // applyEffects executes the effects that the node returned.
 func (runner *nodeActor) applyEffects() {
-	effects := runner.node.Take()
+	effects := runner.node.TakeEffects()
 	if self := runner.node.Self(); self != runner.daemon.process() {
 		runner.daemon.log.Warn("an earlier run on this VM has a higher incarnation; taking one above it", zap.Stringer("takes", self.Incarnation))
 		runner.daemon.incarnation.Store(uint64(self.Incarnation))
@@ -186,7 +186,7 @@
 	}
 	for _, settled := range effects.Settled {
 		if waiter := runner.pendingSettles[settled.Token]; waiter != nil {
-			waiter <- settled.Standing
+			waiter <- settled.Status
 			delete(runner.pendingSettles, settled.Token)
 		}
 	}
@@ -237,7 +237,7 @@
 func (runner *nodeActor) refreshMembers() {
 	daemon := runner.daemon
 	daemon.members.Store(newMemberIndex(daemon.settings, runner.vms, daemon.Declarations()))
-	daemon.transport.Relink()
+	daemon.transport.UpdateLinks()
 }
 
 // send puts a message into the mailbox of the actor.
