--- a/core/berylconfig/fold.go
+++ b/core/berylconfig/fold.go
@@ -19,18 +19,18 @@
 
 // State is the result of folding every entry up to Number.
 type State struct {
-	Number       berylspoke.EntryNumber
+	Number       berylspoke.PatchNumber
 	Version      berylspoke.ConfigVersion
 	Hash         Hash
 	Declarations *Declarations
 }
 
-// Empty returns the state before the first entry.
-func Empty() *State { return &State{Declarations: new(Declarations)} }
+// InitialState returns the state before the first entry.
+func InitialState() *State { return &State{Declarations: new(Declarations)} }
 
 // Outcome reports to operators whether an entry was accepted.
 type Outcome struct {
-	Number   berylspoke.EntryNumber   `json:"number"`
+	Number   berylspoke.PatchNumber   `json:"number"`
 	Accepted bool                     `json:"accepted"`
 	Version  berylspoke.ConfigVersion `json:"version"`
 	Problem  string                   `json:"problem,omitempty"`
--- a/core/berylgate/parts.go
+++ b/core/berylgate/parts.go
@@ -31,7 +31,7 @@
 
 // prompt describes the prefix that a request's prompt shares with others.
 type prompt struct {
-	shared []berylspoke.Part
+	shared []berylspoke.PromptSegment
 	total  berylspoke.Tokens
 	// regions are those in which the request may be served.
 	regions berylspoke.Regions
@@ -42,7 +42,7 @@
 }
 
 func (gate *Gate) prompt(pool *pool, request *Request) prompt {
-	shared := request.Parts[:max(len(request.Parts)-1, 0)]
+	shared := request.Segments[:max(len(request.Segments)-1, 0)]
 	prompt := prompt{shared: shared, regions: request.Regions}
 	for _, segment := range shared {
 		prompt.total += segment.Tokens
@@ -65,7 +65,7 @@
 	var found [scopeCount]*target
 	var top [scopeCount]uint64
 	for _, target := range pool.targets {
-		if target.Leaving || !gate.allows(regions, target) {
+		if target.Draining || !gate.allows(regions, target) {
 			continue
 		}
 		score := rendezvousScore(segment, uint64(target.hash))
@@ -150,7 +150,7 @@
 
 // cached returns how many leading tokens of a prompt are assumed to be in the target's KV
 // cache.
-func (target *target) cached(now time.Time, segments []berylspoke.Part) berylspoke.Tokens {
+func (target *target) cached(now time.Time, segments []berylspoke.PromptSegment) berylspoke.Tokens {
 	var cached berylspoke.Tokens
 	for _, segment := range segments {
 		if sentAt, known := target.lastSent[segment.ID]; !known || now.Sub(sentAt) > cacheLifetime {
@@ -162,7 +162,7 @@
 }
 
 // recordCached records the shared segments of a prompt that was sent to the target.
-func (target *target) recordCached(now time.Time, segments []berylspoke.Part) {
+func (target *target) recordCached(now time.Time, segments []berylspoke.PromptSegment) {
 	for _, segment := range segments {
 		target.lastSent[segment.ID] = now
 	}
--- a/io/beryledge/actor.go
+++ b/io/beryledge/actor.go
@@ -130,7 +130,7 @@
 	core.table.Join(now, settings.Seeds)
 	for name := range core.feeds {
 		core.feeds[name] = berylfeed.New()
-		core.feeds[name].SetPatience(maxContactAge + firstAnswerDelay)
+		core.feeds[name].SetOutageThreshold(maxContactAge + firstAnswerDelay)
 	}
 	return core
 }
@@ -142,13 +142,13 @@
 	case submit:
 		message.decision <- core.gate.Submit(now, message.request)
 	case reserve:
-		message.granted <- core.gate.Reserve(now, message.request)
+		message.granted <- core.gate.ReserveRetry(now, message.request)
 	case answerStarted:
-		core.gate.Began(now, message.request, message.load)
+		core.gate.AnswerStarted(now, message.request, message.load)
 	case attemptEnded:
-		core.gate.Ended(now, message.request, message.outcome)
+		core.gate.AttemptEnded(now, message.request, message.outcome)
 	case connectTimed:
-		core.gate.TimedWay(message.target, message.duration)
+		core.gate.ObserveConnectTime(message.target, message.duration)
 	case tick:
 		core.tick(now)
 	case peerMessages:
@@ -176,7 +176,7 @@
 	core.lastTick = now
 	for _, due := range core.table.Tick(now) {
 		for _, to := range due.To {
-			core.daemon.transport.Send(to, due.Beat)
+			core.daemon.transport.Send(to, due.Heartbeat)
 		}
 	}
 	core.refreshAdmission(now)
@@ -185,14 +185,14 @@
 	core.syncMembers(now)
 	core.gate.Tick(now)
 	interval := reportInterval
-	if core.gate.Sampled() {
+	if core.gate.LargeFleet() {
 		interval = sampledReportInterval
 	}
 	if now.Sub(core.lastReport) >= interval || core.gate.Urgent() {
 		core.lastReport = now
 		core.report(now)
 	}
-	if core.gate.Sampled() {
+	if core.gate.LargeFleet() {
 		core.sendUsageReports(now)
 	}
 	if !core.graceEnd.IsZero() && !now.Before(core.graceEnd) {
@@ -205,12 +205,12 @@
 func (core *core) report(now time.Time) {
 	report := core.gate.Report(now)
 	for _, feed := range core.feeds {
-		report.Feeds = append(report.Feeds, feed.Last())
+		report.Feeds = append(report.Feeds, feed.LastChange())
 	}
 	contact := core.newestContact(now)
 	report.Contact, report.ContactID = contact.Age, contact.ID
 	to := core.livePeers()
-	if len(to) > berylgate.FullMesh {
+	if len(to) > berylgate.MaxFullMeshPeers {
 		to = core.table.Links()
 	}
 	for _, vm := range to {
@@ -224,7 +224,7 @@
 // answer was still recent, the others noticed a silent store twice as late and sent
 // requests to targets that had left.
 func (core *core) newestContact(now time.Time) berylfeed.Contact {
-	core.contacts.Own(core.ownContact())
+	core.contacts.RecordOwn(core.ownContact())
 	return core.contacts.Contact(now, unknownContactAge)
 }
 
@@ -242,10 +242,10 @@
 
 // observeContact records the newest answer of the store that a peer reports.
 func (core *core) observeContact(now time.Time, contact berylfeed.Contact) {
-	core.contacts.Heard(now, contact)
+	core.contacts.Receive(now, contact)
 	newest := core.contacts.Newest()
 	for _, feed := range core.feeds {
-		feed.Reached(now, newest)
+		feed.AnsweredAny(now, newest)
 	}
 	if newest.UnixNano() > core.daemon.lastContact.Load() {
 		core.daemon.lastContact.Store(newest.UnixNano())
@@ -255,15 +255,15 @@
 func (core *core) deliver(now time.Time, from berylspoke.VMID, message berylspoke.Message) {
 	switch message := message.(type) {
 	case berylmember.Heartbeat:
-		if reply := core.table.Hear(now, message); reply != nil {
+		if reply := core.table.HandleHeartbeat(now, message); reply != nil {
 			core.daemon.transport.Send(from, *reply)
 		}
 	case berylgate.Report:
-		core.gate.Heard(now, from, message)
+		core.gate.ReceiveReport(now, from, message)
 		core.observeContact(now, berylfeed.Contact{ID: message.ContactID, Age: message.Contact})
 		core.compareFeeds(now, from, message.Feeds)
 	case berylgate.Usage:
-		core.gate.HeardUsage(now, from, message)
+		core.gate.ReceiveUsage(now, from, message)
 	case berylfeed.Pull:
 		if message.Feed >= berylfeed.Count {
 			return
@@ -303,7 +303,7 @@
 		case <-ticker.C:
 			daemon.send(tick{})
 		case now := <-sweeper.C:
-			daemon.pool.Sweep(now)
+			daemon.pool.CloseExpired(now)
 			daemon.sweepIdle(now)
 		}
 	}
--- a/io/beryledge/overload_test.go
+++ b/io/beryledge/overload_test.go
@@ -36,9 +36,9 @@
 	processor *fakeProcessor
 }
 
-func (dialect costlyDialect) Onward(header http.Header, onward berylspoke.Onward) http.Header {
+func (dialect costlyDialect) ForwardHeaders(header http.Header, forward berylspoke.ForwardInfo) http.Header {
 	dialect.processor.use()
-	return dialect.testDialect.Onward(header, onward)
+	return dialect.testDialect.ForwardHeaders(header, forward)
 }
 
 // contend makes the daemon's decisions wait for the processor too.
@@ -87,7 +87,7 @@
 	target := newTestTarget(t, "d1", sealed(http.StatusOK, "done"))
 	daemon, _ := startServingWith(t, map[string]*testTarget{"desk": target}, costlyDialect{testDialect{testCatalog()}, cpu})
 	go cpu.contend(daemon)
-	run := &overloadRun{address: daemon.settings.Callers}
+	run := &overloadRun{address: daemon.settings.CallersAddress}
 	defer run.closePartial()
 	for number, phase := range script.Phases {
 		cpu.cost.Store(phase.CostMillis * int64(time.Millisecond))
--- a/io/berylpeer/peer_test.go
+++ b/io/berylpeer/peer_test.go
@@ -28,22 +28,22 @@
 	id := berylticket.CallID{Ticket: berylticket.Ticket{Owner: self, Witness: other, Serial: 9}, Number: 4}
 	return []berylspoke.Message{
 		berylmember.Heartbeat{
-			Self: berylmember.Rumour{Process: self, Counter: 2}, Number: 7, Serving: true, Sync: true,
+			Self: berylmember.Rumour{Process: self, Counter: 2}, ConfigNumber: 7, Serving: true, Sync: true,
 			Rumours: []berylmember.Rumour{{Process: other, Counter: 1, Status: berylmember.Dead, Leaving: true}},
 		},
 		berylconfig.PullRequest{After: 12},
 		berylconfig.PullAnswer{Number: 3, Serving: true, Entries: []berylspoke.Published{{Number: 3, Body: []byte("{}")}}, Snapshot: []byte("s")},
-		berylslot.Ask{
+		berylslot.Demand{
 			From: self, Service: "pens", Sequence: 5, Applied: 4, Waiting: 3,
-			Tags: []berylspoke.Tag{10, 12, 30}, Time: 9, Started: 8,
-			Holds: []berylslot.Hold{{Target: "pen-1", Held: 2, Used: 1, Pace: 27 * time.Millisecond}},
+			Tags: []berylspoke.Tag{10, 12, 30}, VirtualTime: 9, MaxStarted: 8,
+			Holdings: []berylslot.Holding{{Target: "pen-1", Held: 2, Used: 1, TokenInterval: 27 * time.Millisecond}},
 		},
 		berylslot.Lease{
-			From: self, Service: "pens", Sequence: 6, Answers: 5, Contended: true, Threshold: 1 << 62, Time: 40,
+			From: self, Service: "pens", Sequence: 6, Acknowledged: 5, Contended: true, Threshold: 1 << 62, VirtualTime: 40,
 			Grants: []berylslot.Grant{{Target: "pen-1", Slots: 2}},
 		},
 		berylshare.Reports{From: self, Reports: []berylshare.Report{{
-			Service: "pens", Organisation: "clergy", Life: 1, Sequence: 2, Weight: 4,
+			Service: "pens", Organisation: "clergy", Generation: 1, Sequence: 2, Weight: 4,
 			Counter: 900, Acknowledged: 800, Base: 225_000, Floor: 100_000,
 		}}},
 		berylshare.Totals{Totals: []berylshare.Total{{Service: "pens", Organisation: "clergy", Counter: 900, Tag: 250_000}}},
@@ -51,21 +51,21 @@
 		berylticket.PermitAnswer{ID: id, Granted: true},
 		berylticket.SettleRequest{ID: id, Token: 77},
 		berylticket.CloseRequest{ID: id, Token: 78},
-		berylticket.SettleAnswer{ID: id, Token: 78, Standing: berylticket.StandsMayHaveRun, ByWitness: true},
+		berylticket.SettleAnswer{ID: id, Token: 78, Status: berylticket.StatusMayHaveRun, ByWitness: true},
 		berylfeed.Pull{Feed: berylfeed.Targets, After: 17},
 		berylfeed.Delta{Feed: berylfeed.Targets, Full: true, After: 17, AsOf: 21, Changes: []berylfeed.Change{{
 			Item:  berylspoke.Item{Key: "pen-1", Value: []byte("{}"), Revision: 20, Deleted: true},
 			Grace: 1500 * time.Millisecond,
 		}}},
 		berylgate.Usage{
-			Extent: berylgate.DomainUsage, Domain: "a", Rest: 5_000,
-			Organisations: []berylgate.OrganisationReport{{Organisation: 8, Asked: 9_000, Given: 4_000}},
+			Extent: berylgate.DomainUsage, Domain: "a", RestDemand: 5_000,
+			Organisations: []berylgate.OrganisationReport{{Organisation: 8, Demand: 9_000, Served: 4_000}},
 		},
 		berylgate.Report{
 			Incarnation: 5, Feeds: []berylspoke.Revision{20, 21}, Contact: 300 * time.Millisecond, ContactID: 7<<32 | 1,
-			Targets:       []berylgate.TargetReport{{Target: 9, Work: 1_200, Running: 3, Tokens: 24_000}},
+			Targets:       []berylgate.TargetReport{{Target: 9, WorkMillis: 1_200, Running: 3, Tokens: 24_000}},
 			Loads:         []berylgate.LoadReport{{Target: 9, Running: 12, Waiting: 3, Age: 200 * time.Millisecond}},
-			Organisations: []berylgate.OrganisationReport{{Organisation: 8, Asked: 9_000, Given: 4_000}},
+			Organisations: []berylgate.OrganisationReport{{Organisation: 8, Demand: 9_000, Served: 4_000}},
 		},
 	}
 }
@@ -170,7 +170,7 @@
 	locator := locations{"left": left, "right": front}
 	sender, _ := listen(t, "left", left, fleetKey, locator)
 	_, inbox := listen(t, "right", right, fleetKey, locator)
-	number := berylspoke.EntryNumber(0)
+	number := berylspoke.PatchNumber(0)
 	arrives := func() bool {
 		number++
 		sender.Send("right", berylconfig.PullRequest{After: number})
@@ -178,7 +178,7 @@
 		return inbox.contains(berylconfig.PullRequest{After: number})
 	}
 	require.Eventually(t, arrives, testTimeout, 10*time.Millisecond)
-	require.Positive(t, relay.Forget())
+	require.Positive(t, relay.Blackhole())
 	require.Eventually(t, arrives, testTimeout, 10*time.Millisecond, "messages arrive again")
 }
 
