--- a/core/berylgate/choose.go
+++ b/core/berylgate/choose.go
@@ -65,8 +65,8 @@
 	// tokens that they use.
 	Running int
 	Tokens  berylspoke.Tokens
-	// The longest expected time to first byte at which the request would be sent, and how
-	// many times its max-min level the organisation was served.
+	// The longest expected time to first byte at which the request would be sent, and
+	// the ratio of the organisation's service to its max-min level.
 	Limit   time.Duration
 	Overuse float64
 	// Share is the usage that the limit was derived from.
