--- a/io/beryledge/actor.go
+++ b/io/beryledge/actor.go
@@ -21,13 +21,13 @@
 	tickInterval = 50 * time.Millisecond
 	// sweepInterval is the time between two sweeps of idle connections.
 	sweepInterval = 500 * time.Millisecond
-	// reportInterval is the time between two reports to peers. On average a daemon does
-	// not know the others' dispatches of half this time.
+	// reportInterval is the time between two reports to peers. On average, what a daemon
+	// knows of the others' dispatches is half this time old.
 	reportInterval = 200 * time.Millisecond
-	// sampledReportInterval replaces reportInterval in a large fleet, where estimates
+	// largeFleetReportInterval replaces reportInterval in a large fleet, where estimates
 	// rely on the load that engines report themselves and the rates of organisations
 	// change slowly.
-	sampledReportInterval = 400 * time.Millisecond
+	largeFleetReportInterval = 400 * time.Millisecond
 	// syncInterval is the time between two full exchanges of the membership with a
 	// seed or a peer.
 	syncInterval = 5 * time.Second
@@ -36,10 +36,10 @@
 	// pullDelay is how long a watcher may lack changes that a peer has before it pulls
 	// them: the store sends them to both at about the same time.
 	pullDelay = 250 * time.Millisecond
-	// unknownContactAge is reported where no contact with the store is known.
+	// unknownContactAge is the age reported when no contact with the store is known.
 	unknownContactAge = time.Hour
-	// suspendThreshold is the gap between ticks beyond which the process counts as
-	// suspended in between.
+	// suspendThreshold is the gap between two ticks beyond which the process is assumed
+	// to have been suspended.
 	suspendThreshold = time.Second
 )
 
@@ -81,7 +81,7 @@
 		feed berylfeed.Name
 		err  error
 	}
-	// inspect runs a function on the core.
+	// inspect runs a function in the actor and closes done when it has returned.
 	inspect struct {
 		function func(now time.Time, core *core)
 		done     chan struct{}
@@ -101,10 +101,11 @@
 	// behindSince is when a peer was first seen to have changes that this daemon lacks, or
 	// when they were last pulled; zero if there are none.
 	behindSince [berylfeed.Count]time.Time
-	// graceEnd is when the first grace of a vanished target ends, zero for none.
+	// graceEnd is when the first grace period of a vanished target ends, zero for none.
 	graceEnd time.Time
 	lastTick time.Time
-	// withdrawnUntil is until when this daemon's address is not given to callers.
+	// withdrawnUntil is the time until which this daemon's address is not given to
+	// callers.
 	withdrawnUntil time.Time
 	lastReport     time.Time
 	lastSync       time.Time
@@ -186,7 +187,7 @@
 	core.gate.Tick(now)
 	interval := reportInterval
 	if core.gate.Sampled() {
-		interval = sampledReportInterval
+		interval = largeFleetReportInterval
 	}
 	if now.Sub(core.lastReport) >= interval || core.gate.Urgent() {
 		core.lastReport = now
@@ -218,11 +219,11 @@
 	}
 }
 
-// newestContact returns the newest answer of the store to this daemon or to one that
-// it has reports of. Daemons pass it on, so that a large fleet needs no more watchers
-// than a small one. Its age is exact: when watchers reported no age while their last
-// answer was still recent, the others noticed a silent store twice as late and sent
-// requests to targets that had left.
+// newestContact returns the newest answer of the store to any daemon, as far as this one
+// knows. Daemons pass it on, so that a large fleet needs no more watchers than a small
+// one. The age is always exact: when watchers reported no age while their last answer was
+// still recent, the others took twice as long to notice that the store no longer
+// answered, and sent requests to targets that had left.
 func (core *core) newestContact(now time.Time) berylfeed.Contact {
 	core.contacts.Own(core.ownContact())
 	return core.contacts.Contact(now, unknownContactAge)
--- a/io/beryledge/admission.go
+++ b/io/beryledge/admission.go
@@ -21,16 +21,16 @@
 )
 
 const (
-	// slotsPerCore is the number of requests per core that may be between being read and
-	// being sent to a target.
+	// slotsPerCore is the number of requests per core that may have been read but not yet
+	// sent to a target.
 	slotsPerCore = 8
-	// expiryCheckDelay is how long a handler waits for a decision before it lets the queue
-	// expire requests itself. Other events at the queue may expire them earlier.
+	// expiryCheckDelay is how long a handler waits for a decision before it checks the
+	// queue for expired requests. Other events at the queue may expire them earlier.
 	expiryCheckDelay = 60 * time.Millisecond
 	// retryFraction is the fraction of its objective after which a rejected caller may
-	// retry at the earliest; a random time up to as much again is added. The objective
-	// runs from the caller's first attempt, and a retry after it displaces requests that
-	// could still be answered in time.
+	// retry at the earliest; a random time of up to the same length is added. The
+	// objective runs from the caller's first attempt, and a retry after its end displaces
+	// requests that could still be answered in time.
 	retryFraction = 0.2
 	// defaultObjective applies to requests whose route is not known.
 	defaultObjective = time.Second
@@ -90,7 +90,7 @@
 
 // run admits waiting requests. It is woken through a pipe because the Go scheduler polls
 // descriptors only when no goroutine is runnable, so that the answers to requests
-// admitted before are forwarded first. Woken by a channel it would run before them.
+// admitted before are forwarded first. If a channel woke it, it would run before them.
 func (admission *admission) run(wakeups io.Reader) {
 	buffer := make([]byte, 1)
 	for {
@@ -334,7 +334,7 @@
 	daemon.meters.rejections.count(demand.organisation, cause)
 }
 
-// refreshAdmission reports the rejected tokens to the gate and sets in the queue what
+// refreshAdmission reports the rejected tokens to the gate and sets the tokens that
 // organisations beyond their cap may still start.
 func (core *core) refreshAdmission(now time.Time) {
 	admission := core.daemon.admission
--- a/io/beryledge/attempt.go
+++ b/io/beryledge/attempt.go
@@ -96,11 +96,11 @@
 	}
 }
 
-// stillWanted reports whether a request is still to be sent once its connection is open.
-// Opening a connection takes over a second where packets are lost. Meanwhile the caller
-// may have disconnected, and the target may have announced that it leaves: a request
-// that is sent after the other daemons have stopped sending would be run by a target
-// that is about to exit.
+// stillWanted reports whether a request should still be sent once its connection is
+// open. Opening a connection takes over a second if packets are lost. Meanwhile the
+// caller may have disconnected, and the target may have announced that it is draining: a
+// request that is sent after the other daemons have stopped sending would be run by a
+// target that is about to exit.
 func (call *call) stillWanted(target berylspoke.Target) bool {
 	return (*call.daemon.accepting.Load())[target.ID] && !callerDisconnected(call.incoming.Context())
 }
@@ -128,8 +128,8 @@
 	return false
 }
 
-// answerFailed handles an attempt that the target may have run and that brought no valid
-// and complete answer. It returns false if the request may be retried.
+// answerFailed handles an attempt that the target may have run and that had no valid and
+// complete answer. It returns false if the request may be retried.
 func (call *call) answerFailed(decision berylgate.Decision, err error) bool {
 	call.mayHaveRun = true
 	outcome := berylgate.Broken
@@ -199,15 +199,15 @@
 	return request
 }
 
-// answersRequest reports whether an answer belongs to this request. A refusal without an
-// id does too, as a target may refuse before it has read the id.
+// answersRequest reports whether an answer belongs to this request. One without an id and
+// seal does too, as a target may refuse a request before it has read the id.
 func (call *call) answersRequest(response *http.Response) bool {
 	reply := call.daemon.dialect.Reply(response.StatusCode, response.Header)
 	return reply.ID == call.ask.ID || reply.ID == "" && !reply.Sealed
 }
 
-// noteFirstByte reports the first byte of an answer to the core.
-func (call *call) noteFirstByte(reply berylspoke.Reply) {
+// reportFirstByte reports the first byte of an answer to the core.
+func (call *call) reportFirstByte(reply berylspoke.Reply) {
 	call.firstByte = time.Since(call.sent)
 	call.daemon.send(answerStarted{call.request, reply.Load})
 }
@@ -226,7 +226,7 @@
 // forwardAnswer forwards an answer once it is complete, so that a truncated one never
 // reaches the caller.
 func (call *call) forwardAnswer(decision berylgate.Decision, exchange *berylconn.Exchange, reply berylspoke.Reply) bool {
-	call.noteFirstByte(reply)
+	call.reportFirstByte(reply)
 	response := exchange.Response
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
 	if err == nil {
@@ -272,7 +272,7 @@
 	return true
 }
 
-// checkAnswer returns an error if an answer does not prove to be the target's own.
+// checkAnswer returns an error if nothing proves that an answer comes from the target.
 func checkAnswer(response *http.Response, reply berylspoke.Reply) error {
 	switch status := response.StatusCode; {
 	case !reply.Sealed:
--- a/io/beryledge/callers.go
+++ b/io/beryledge/callers.go
@@ -36,7 +36,7 @@
 	incoming *http.Request
 	ask      berylspoke.Ask
 	route    *berylspoke.Route
-	// organisation is the one whose share the request is charged to.
+	// organisation has the share that the request is charged to.
 	organisation berylspoke.OrganisationID
 	request      *berylgate.Request
 	body         []byte
@@ -203,8 +203,8 @@
 	return call.daemon.decide(call.request)
 }
 
-// decide asks the core for a target or a refusal. The time it takes is an observation of
-// the CPU pressure.
+// decide asks the core for a target or a refusal. The time that the decision takes is an
+// observation of the CPU pressure.
 func (daemon *Daemon) decide(request *berylgate.Request) berylgate.Decision {
 	submitted := time.Now()
 	reply := make(chan berylgate.Decision, 1)
@@ -275,7 +275,7 @@
 	call.answer(status, reason, retryAfter)
 }
 
-// answer sends an error answer of the daemon itself.
+// answer sends an error answer that the daemon itself generates.
 func (call *call) answer(status int, reason berylspoke.Reason, retryAfter time.Duration) {
 	header := call.writer.Header()
 	call.daemon.dialect.Name(header, call.ask.ID)
@@ -284,7 +284,7 @@
 	}
 	// A caller that was served keeps its connection even while the CPU pressure is high,
 	// as a new connection costs half as much as a request. A caller that was refused
-	// would retry only to be refused again, which costs less on a new connection.
+	// would retry and be refused again, which costs less on a new connection.
 	if call.daemon.tooManyConns() || call.daemon.pressure.high() || reason == berylspoke.ReasonProcessor {
 		header.Set("Connection", "close")
 	}
--- a/io/beryledge/collect.go
+++ b/io/beryledge/collect.go
@@ -13,12 +13,14 @@
 )
 
 // collectorsPerDomain is the number of collectors of a failure domain. All of them
-// aggregate its usage, but only the first sends the sums. Once it is believed dead, the
-// next one has all it needs; until then the other daemons use sums that grow stale.
+// aggregate its usage, but only the first sends the sums. Once the membership lists it as
+// dead, the next one takes over with its own sums; until then the other daemons use sums
+// that grow stale.
 const collectorsPerDomain = 2
 
 // collectorsOf returns the daemons that aggregate the usage of a failure domain: those
-// with the most processor time, as they send a message to each daemon of it.
+// with the most processor time, as a collector sends a message to each daemon of its
+// domain.
 func collectorsOf(table *berylmember.Table, domain berylspoke.FailureDomain) []berylspoke.VMID {
 	members := membersOf(table, domain)
 	slices.SortFunc(members, func(one, other berylspoke.VMID) int {
@@ -40,10 +42,10 @@
 }
 
 // sendUsageReports sends the usage that is due: each daemon sends its own to the
-// collectors of its failure domain, a collector sends that of its domain to the
-// collectors of the others, and that of the fleet to the daemons of its domain. A
-// daemon sends two messages at a time, the first collector one to each daemon of its
-// domain and two to each other domain.
+// collectors of its failure domain. The first collector sends the usage of its domain to
+// the collectors of the other domains, and the usage of the fleet to the daemons of its
+// domain. Each time, a daemon sends two messages, and the first collector one to each
+// daemon of its domain and two to each other domain.
 func (core *core) sendUsageReports(now time.Time) {
 	self, ownDomain := core.daemon.settings.VM, core.daemon.settings.FailureDomain
 	collectors := collectorsOf(core.table, ownDomain)
--- a/io/beryledge/cpupressure.go
+++ b/io/beryledge/cpupressure.go
@@ -15,9 +15,9 @@
 	observationWeight = 0.05
 	// highPressure is the mean delay beyond which the daemon makes callers use other
 	// daemons. A decision takes a tenth of a millisecond, and up to three milliseconds
-	// on a VM at two thirds of its processor. A request waits for the processor three
-	// times on its way through the daemon, which at this delay takes a tenth of its
-	// objective in total.
+	// on a VM that uses two thirds of its processor time. A request waits for the
+	// processor three times while the daemon handles it; at this delay, that takes a
+	// tenth of its objective in total.
 	highPressure = 12 * time.Millisecond
 	// withdrawDuration is how long the address of a daemon under high CPU pressure is
 	// not given to callers: they cache addresses for a second, and the daemon's queues
--- a/io/beryledge/daemon.go
+++ b/io/beryledge/daemon.go
@@ -175,8 +175,8 @@
 
 // setKeepAlive enables TCP keep-alive on a listening socket; accepted connections
 // inherit the options. Setting them on each connection takes four system calls, a
-// quarter of the whole cost of a refused request, which starves a small VM when it is
-// flooded.
+// quarter of the total cost of a refused request, and a flood of such requests starves a
+// small VM.
 func setKeepAlive(_, _ string, raw syscall.RawConn) error {
 	options := []struct{ level, name, value int }{
 		{unix.SOL_SOCKET, unix.SO_KEEPALIVE, 1},
--- a/io/beryledge/daemon_test.go
+++ b/io/beryledge/daemon_test.go
@@ -43,10 +43,10 @@
 	require.Empty(t, got.Header.Get("User-Agent"), "nothing is added")
 }
 
-// Guards against answers that do not prove to be the target's own and complete: truncated,
-// without seal, of another request, with an encoding, or not HTTP. None may reach a
-// caller as a success, and a non-idempotent request that may have run is neither retried
-// nor answered as not run.
+// Guards against forwarding answers that are incomplete or not proven to come from the
+// target: truncated, without seal, to another request, with an encoding, or not HTTP. None
+// may reach a caller as a success, and a non-idempotent request that may have run is
+// neither retried nor answered as not run.
 func TestInvalidAnswersAreNotForwarded(t *testing.T) {
 	invalid := map[string]http.HandlerFunc{
 		"cut": raw(func(id string) string {
@@ -76,7 +76,7 @@
 			require.NoError(t, err)
 			require.Equal(t, http.StatusBadGateway, response.StatusCode)
 			require.Empty(t, response.Header.Get("X-Seal"))
-			require.EqualValues(t, 1, target.seen.Load()+other.seen.Load(), "the filing was sent once")
+			require.EqualValues(t, 1, target.seen.Load()+other.seen.Load(), "the request was sent once")
 		})
 	}
 }
@@ -96,8 +96,8 @@
 }
 
 // Guards against a failure of one target that the caller sees although the request is
-// idempotent: the target closes the connection without an answer, and the request is
-// retried at another one.
+// idempotent: the target closes the connection without an answer. The request must be
+// retried at another target.
 func TestIdempotentRequestIsRetriedAtAnotherTarget(t *testing.T) {
 	broken := newTestTarget(t, "d1", raw(func(string) string { return "" }))
 	working := newTestTarget(t, "d2", sealed(http.StatusOK, "found"))
@@ -113,7 +113,7 @@
 
 // Guards against a resumable stream that fails because its engine answers with an error,
 // as an unhealthy engine with a passing health check does for some requests. The request
-// is retried at another engine, and the caller does not notice.
+// must be retried at another engine without the caller noticing.
 func TestResumableStreamIsRetriedAfterEngineError(t *testing.T) {
 	failing := newTestTarget(t, "e1", sealed(http.StatusInternalServerError, "failed"))
 	working := newTestTarget(t, "e2", events(9))
@@ -344,8 +344,8 @@
 
 // Guards against a request that is sent to a target that has left: opening a connection
 // to it takes a second, as packets are lost, and meanwhile this daemon learns that the
-// target leaves. The request reached it later than any other daemon would have sent one.
-// It must be tried at another target instead, as nothing was sent.
+// target leaves. The request reached it after all other daemons had stopped sending. It
+// must be tried at another target instead, as nothing was sent.
 func TestRequestIsNotSentToTargetThatLeftWhileConnecting(t *testing.T) {
 	leaving := newTestTarget(t, "d1", sealed(http.StatusOK, "left"))
 	daemon, store := startServing(t, map[string]*testTarget{"desk#1": leaving})
--- a/io/beryledge/entries.go
+++ b/io/beryledge/entries.go
@@ -44,8 +44,7 @@
 const maxWeight = 5
 
 // addressWeight returns how often an address is listed: callers pick one at random, and
-// a VM with four times the processor time of another is to be picked four times as
-// often.
+// should pick a VM with four times the processor time of another four times as often.
 func addressWeight(capacity, smallest uint16) int {
 	if smallest == 0 || capacity == 0 {
 		return 1
@@ -65,7 +64,7 @@
 }
 
 // Entries returns the addresses for a caller in a failure domain: those of the same
-// domain, else of its region, else all. Traffic between domains is paid for, and callers
+// domain, else those of its region, else all. Traffic between domains is billed, and callers
 // stop using an address that fails.
 func (daemon *Daemon) Entries(domain berylspoke.FailureDomain) []string {
 	entries := daemon.entries.Load()
--- a/io/beryledge/fakes_test.go
+++ b/io/beryledge/fakes_test.go
@@ -244,9 +244,9 @@
 
 var daemons atomic.Int64
 
-// ownHost returns a loopback address that no other process and no other daemon in this
+// uniqueHost returns a loopback address that no other process and no other daemon in this
 // process uses, so that fixed ports on it are free.
-func ownHost() string {
+func uniqueHost() string {
 	process := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d", 1+process>>8&0x7f, process&0xff, 1+daemons.Add(1))
 }
@@ -258,7 +258,7 @@
 
 // startWith runs a daemon with a dialect.
 func startWith(t *testing.T, store berylspoke.Store, dialect berylspoke.Dialect, seeds ...berylspoke.VMID) *Daemon {
-	host := ownHost()
+	host := uniqueHost()
 	settings := &Settings{
 		Name: t.Name(), VM: berylspoke.VMID(host + ":7001"),
 		FailureDomain: "a", Region: "r", RegionOf: map[berylspoke.FailureDomain]berylspoke.Region{"a": "r"},
--- a/io/beryledge/feeds.go
+++ b/io/beryledge/feeds.go
@@ -23,8 +23,8 @@
 			core.behindSince[name] = time.Time{}
 			continue
 		}
-		// All links report the same change within milliseconds, and a daemon that pulled
-		// it from each of them would receive it eight times.
+		// All linked peers report the same change within milliseconds, and a daemon that
+		// pulled it from each of them would receive it eight times.
 		first := core.behindSince[name].IsZero()
 		if first {
 			core.behindSince[name] = now
@@ -39,7 +39,8 @@
 func (core *core) mergeDelta(now time.Time, from berylspoke.VMID, delta berylfeed.Delta) {
 	feed := core.feeds[delta.Feed]
 	if feed.Merge(now, delta) {
-		// The daemons that receive this one's reports have waited for the change already.
+		// The next tick sends a report: the daemons that receive it have already waited
+		// for the change.
 		core.lastReport = time.Time{}
 		core.daemon.log.Info("received changes from a peer", zap.String("peer", string(from)),
 			zap.Uint8("feed", uint8(delta.Feed)), zap.Uint64("asOf", uint64(delta.AsOf)), zap.Int("changes", len(delta.Changes)))
@@ -58,20 +59,20 @@
 	}
 	if change(now, message.items, message.asOf) {
 		core.refreshFeed(now, message.feed)
-		// The peers that do not watch learn of it with the next tick.
+		// The next tick reports the change to the peers that do not watch the store.
 		core.lastReport = time.Time{}
 	}
-	core.publish(message.feed)
+	core.publishRevision(message.feed)
 }
 
-// publish tells the readers of the store which revision to continue after.
-func (core *core) publish(name berylfeed.Name) {
+// publishRevision sets the revision after which the readers of the store continue.
+func (core *core) publishRevision(name berylfeed.Name) {
 	core.daemon.revisions[name].Store(uint64(core.feeds[name].AsOf()))
 	core.daemon.known[name].Store(core.feeds[name].Known())
 }
 
 func (core *core) refreshFeed(now time.Time, name berylfeed.Name) {
-	core.publish(name)
+	core.publishRevision(name)
 	if name == berylfeed.Configuration {
 		core.refreshCatalog(now)
 		core.refreshEvacuated(now)
@@ -96,8 +97,8 @@
 	core.refreshTargets(now)
 }
 
-// refreshCatalog applies the newest configuration; one that cannot be decoded or that is
-// older than the one in force changes nothing.
+// refreshCatalog applies the newest configuration. One that cannot be decoded, or that is
+// not newer than the one in force, is ignored.
 func (core *core) refreshCatalog(now time.Time) {
 	items, _ := core.feeds[berylfeed.Configuration].Items(now)
 	catalog, err := core.daemon.dialect.Catalog(items)
--- a/io/beryledge/idle.go
+++ b/io/beryledge/idle.go
@@ -17,7 +17,7 @@
 	// defaultIdleTimeout applies if the configuration states none.
 	defaultIdleTimeout = 15 * time.Second
 	// maxConnFraction is the fraction of the descriptors that callers' connections may
-	// use before refused callers are told to close theirs. Callers retry after a
+	// use before refused callers are asked to close theirs. Callers retry after a
 	// refusal over a new connection, so a flood of refusals would otherwise exhaust the
 	// descriptors with idle connections.
 	maxConnFraction = 0.3
--- a/io/beryledge/listener.go
+++ b/io/beryledge/listener.go
@@ -19,8 +19,8 @@
 )
 
 const (
-	// headBytes is how much of a request is read before the server has its connection:
-	// most requests fit whole.
+	// headBytes bounds what is read of a request before the server gets its connection.
+	// Most requests fit completely.
 	headBytes = 16 << 10
 	// pollInterval is the time between two polls of new connections while the processor
 	// is overloaded. The request arrives a round trip of some milliseconds after its
@@ -29,8 +29,9 @@
 	// maxAcceptBatch bounds the connections accepted at once; the others stay in the
 	// socket's backlog.
 	maxAcceptBatch = 128
-	// maxEmptyPolls is how many polls may find no data on a new connection; after that
-	// its caller is slow, and the server waits for it.
+	// maxEmptyPolls is how many polls may find no data on a new connection. After that
+	// its caller counts as slow, and the server gets the connection and waits for the
+	// request.
 	maxEmptyPolls = 3
 	// maxAdmitted bounds the admitted connections that wait for the server.
 	maxAdmitted = 256
@@ -38,9 +39,10 @@
 
 // admissionListener accepts connections for the server. While the processor is
 // overloaded it reads the first bytes of each connection itself, and the admission queue
-// decides by the organisation that they name. A rejection at this stage needs neither
-// parsing nor a goroutine: all callers of an organisation may connect to one small VM,
-// whatever the resolve answers are, and send many times what it can serve.
+// decides by the organisation whose key they contain. A rejection at this stage needs
+// neither parsing nor a goroutine. It must be cheap, as all callers of an organisation
+// may connect to one small VM, whatever the resolve answers are, and send many times what
+// it can serve.
 type admissionListener struct {
 	*net.TCPListener
 	daemon *Daemon
@@ -55,7 +57,7 @@
 	bypassed []net.Conn
 }
 
-// pendingConn is a connection and how often it was polled.
+// pendingConn is a connection with the number of polls that found no data on it.
 type pendingConn struct {
 	descriptor, polls int
 }
@@ -174,8 +176,8 @@
 			// The remote address is not needed to reject a request.
 			descriptor, _, errno := unix.RawSyscall6(unix.SYS_ACCEPT4, socket, 0, 0, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0, 0)
 			if errno != 0 {
-				// The backlog is empty, or descriptors have run out: rejected
-				// connections free some.
+				// The backlog is empty, or the process has no free descriptors;
+				// closing rejected connections frees some.
 				return
 			}
 			accepted = append(accepted, int(descriptor))
@@ -184,7 +186,7 @@
 	return accepted, err
 }
 
-// rejectPending rejects the requests that the server no longer accepts as it stops.
+// rejectPending rejects the requests that a stopping server no longer accepts.
 func (listener *admissionListener) rejectPending() {
 	for _, conn := range listener.pending {
 		listener.daemon.rejectConn(conn.descriptor, make([]byte, headBytes), demand{}, beryladmission.Overload)
@@ -242,7 +244,7 @@
 // rejectionPrefix is the answer to an unparsed request up to the value of Retry-After.
 const rejectionPrefix = "HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\nRetry-After: "
 
-// admittedConn is a connection whose first bytes were read before the server had it. It
+// admittedConn is a connection whose first bytes were read before the server got it. It
 // holds the slot of its first request.
 type admittedConn struct {
 	*net.TCPConn
@@ -349,9 +351,9 @@
 	return context.WithValue(ctx, connKey{}, conn)
 }
 
-// callerDisconnected checks the socket itself for whether the caller has closed its end.
-// A request may have waited in the socket for longer than its caller did, and the server
-// notices that only when it reads again.
+// callerDisconnected checks on the socket whether the caller has closed its end. A
+// request may have waited in the socket's buffer for longer than its caller did, and the
+// server notices that only when it reads again.
 func callerDisconnected(ctx context.Context) bool {
 	conn, ok := ctx.Value(connKey{}).(syscall.Conn)
 	if !ok {
--- a/io/beryledge/members.go
+++ b/io/beryledge/members.go
@@ -58,15 +58,15 @@
 		core.daemon.transport.Relink()
 	}
 	for _, feed := range core.feeds {
-		// If all watchers are cut off, the others read the store after this time.
+		// If no watcher can reach the store, the others read it after this time.
 		feed.SetPatience(core.daemon.contactAgeLimit() + firstAnswerDelay)
 	}
 	live := len(core.table.Live())
 	core.gate.SetDaemons(now, live)
 	core.gate.SetVMs(now, fresh.domains)
-	// The same daemons watch all feeds: one in contact on only one feed could not
+	// The same daemons watch all feeds: a daemon that watches only one feed could not
 	// report to the others that it has all changes.
-	chosen := berylmember.Ranked("watcher", core.table.Live(), watcherCount)
-	core.daemon.watcher.Store(slices.Contains(chosen, core.daemon.settings.VM))
+	watchers := berylmember.Ranked("watcher", core.table.Live(), watcherCount)
+	core.daemon.watcher.Store(slices.Contains(watchers, core.daemon.settings.VM))
 	core.daemon.log.Info("membership changed", zap.Int("live", live), zap.Int("entries", fresh.count()))
 }
--- a/io/beryledge/overload_test.go
+++ b/io/beryledge/overload_test.go
@@ -61,8 +61,8 @@
 	Seconds float64 `json:"seconds"`
 	// CostMillis is the processor time of one request.
 	CostMillis int64 `json:"costMillis"`
-	// Rates are requests a second by organisation, each on its own connection; Partial
-	// are connections a second that send only half of a header.
+	// Rates are requests per second by organisation, each on its own connection; Partial
+	// are connections per second that send only half of a header.
 	Rates   map[string]int `json:"rates"`
 	Partial int            `json:"partial"`
 	// Served is the minimum fraction of its requests that each organisation must get
@@ -80,7 +80,7 @@
 	return script
 }
 
-// play plays all phases and checks that every request that is not served is answered with
+// play runs all phases and checks that every request that is not served is answered with
 // a Retry-After, and that it reaches no target.
 func (script overloadScript) play(t *testing.T) {
 	cpu := new(fakeProcessor)
@@ -105,7 +105,7 @@
 	require.Equal(t, run.served.Load(), target.seen.Load(), "rejected requests reached the target")
 }
 
-// overloadRun is one play of a script.
+// overloadRun is one run of a script.
 type overloadRun struct {
 	address            string
 	callers            sync.WaitGroup
@@ -145,7 +145,7 @@
 	return tallies
 }
 
-// dueAt returns how many requests are due at a tick, for a rate in requests a second.
+// dueAt returns how many requests are due at a tick, for a rate in requests per second.
 func dueAt(tick, rate int) int {
 	upTo := func(tick int) int { return tick * rate * int(overloadStep) / int(time.Second) }
 	return upTo(tick+1) - upTo(tick)
--- a/io/beryledge/rejections.go
+++ b/io/beryledge/rejections.go
@@ -21,8 +21,8 @@
 const (
 	// rejectionLogInterval is the minimum time between two log lines on rejections.
 	rejectionLogInterval = time.Second
-	// maxLogged bounds the organisations named in one log line, maxNamed those with a
-	// counter of their own.
+	// maxLogged bounds the organisations named in one log line, maxNamed those with
+	// their own counter.
 	maxLogged = 4
 	maxNamed  = 32
 )
@@ -33,7 +33,7 @@
 	mutex    sync.Mutex
 	counters map[berylspoke.OrganisationID]*metrics.Counter
 	// unlogged are the requests counted since the last log line, overCap those of them
-	// that were rejected for their organisation's cap.
+	// that were rejected because their organisation is beyond its cap.
 	unlogged map[berylspoke.OrganisationID]int
 	overCap  int
 	lastLog  time.Time
@@ -70,7 +70,7 @@
 }
 
 // due returns the counts since the last log line if the next one is due, and how many
-// requests were rejected for their organisation's cap.
+// requests were rejected because their organisation is beyond its cap.
 func (rejections *rejections) due(now time.Time) (counts map[berylspoke.OrganisationID]int, overCap int) {
 	rejections.mutex.Lock()
 	defer rejections.mutex.Unlock()
@@ -82,7 +82,7 @@
 	return counts, overCap
 }
 
-// logRejections logs at most once a second how many requests were rejected, with the
+// logRejections logs at most once per second how many requests were rejected, with the
 // organisations that had the most.
 func (daemon *Daemon) logRejections(now time.Time) {
 	counts, overCap := daemon.meters.rejections.due(now)
--- a/io/beryledge/settings.go
+++ b/io/beryledge/settings.go
@@ -69,8 +69,9 @@
 	return nil
 }
 
-// waitsForPeers reports whether a daemon first waits for the published items from its
-// peers: the whole fleet starts now, and it is none of the seeds, which read the store.
+// waitsForPeers reports whether a daemon first waits until its peers send the published
+// items. It does if the whole fleet is starting and the daemon is not one of the seeds,
+// which read the store.
 func (settings *Settings) waitsForPeers() bool {
 	return settings.FirstStart && len(settings.Seeds) > 0 && !slices.Contains(settings.Seeds, settings.VM)
 }
--- a/io/beryledge/stop.go
+++ b/io/beryledge/stop.go
@@ -29,7 +29,7 @@
 	// stopRetryAfter is the delay after which such a caller may retry, which it does at
 	// another daemon.
 	stopRetryAfter = 20 * time.Millisecond
-	// stopPollInterval is the time between two checks whether callers have left.
+	// stopPollInterval is the time between two checks of whether callers have left.
 	stopPollInterval = 50 * time.Millisecond
 )
 
--- a/io/beryledge/store.go
+++ b/io/beryledge/store.go
@@ -18,21 +18,22 @@
 	// history may forget a waiting watch, which then reports nothing until it ends; a
 	// change must still be in force within three seconds.
 	watchTimeout = time.Second
-	// watcherCount is the number of daemons that watch the store. Each call is paid for
-	// and the store's rate limit is shared, so the others get the changes from these.
-	// There are three, so that a fault at one or two of them delays nothing.
+	// watcherCount is the number of daemons that watch the store. Each call is billed and
+	// the store's rate limit is shared, so the others get the changes from these. There
+	// are three, so that a fault at one or two of them delays nothing.
 	watcherCount = 3
 	// contactSlack is added to the duration of a watch and the reports that pass its
 	// answer on, for slow answers and late ticks.
 	contactSlack = 300 * time.Millisecond
 	// maxContactAge is how old the last contact of any daemon may be before a daemon
-	// that is no watcher reads the store itself: one watch, one report and a lost one.
+	// that is not a watcher reads the store itself. It covers one watch, one report and
+	// one lost report.
 	maxContactAge = watchTimeout + 2*reportInterval + contactSlack
-	// maxSampledContactAge replaces maxContactAge where reports pass from daemon to
-	// daemon, over as many hops as the largest fleet has.
-	maxSampledContactAge = watchTimeout + 3*sampledReportInterval + contactSlack
-	// firstAnswerDelay is how long a daemon that starts to watch waits for its first
-	// answer at most while the store is up.
+	// largeFleetMaxContactAge replaces maxContactAge in a large fleet, where reports pass
+	// from daemon to daemon, over as many hops as the largest fleet has.
+	largeFleetMaxContactAge = watchTimeout + 3*largeFleetReportInterval + contactSlack
+	// firstAnswerDelay is the longest time that a daemon that starts to watch waits for
+	// its first answer while the store is up.
 	firstAnswerDelay = 900 * time.Millisecond
 	// peerWait is how long a daemon that starts together with the whole fleet waits for
 	// the published items from its peers before it reads the store: the seeds read it at
@@ -41,8 +42,8 @@
 	peerWait = 2500 * time.Millisecond
 	// watchCheckInterval is the time between two checks whether to read the store.
 	watchCheckInterval = 100 * time.Millisecond
-	// minRetryPause and maxRetryPause bound the pause after a failed call. A store that
-	// rejects calls because there are too many must not get even more.
+	// minRetryPause and maxRetryPause bound the pause after a failed call, so that a
+	// store that rejects calls because it gets too many does not get even more.
 	minRetryPause = 250 * time.Millisecond
 	maxRetryPause = 1500 * time.Millisecond
 )
@@ -85,10 +86,10 @@
 }
 
 // contactAgeLimit returns how old the last contact of any daemon may be before a daemon
-// that is no watcher reads the store itself.
+// that is not a watcher reads the store itself.
 func (daemon *Daemon) contactAgeLimit() time.Duration {
 	if len(daemon.entries.Load().domains) > berylgate.FullMesh {
-		return maxSampledContactAge
+		return largeFleetMaxContactAge
 	}
 	return maxContactAge
 }
--- a/io/beryledge/store_test.go
+++ b/io/beryledge/store_test.go
@@ -12,7 +12,7 @@
 
 // Guards against an overload of the store when a whole fleet starts: 340 daemons start
 // within 0.3 s and each lists configuration and targets, 680 lists of a megabyte each at
-// a store that answers 2,000 calls a second in all. Only the seeds read the store at
+// a store that answers 2,000 calls per second in total. Only the seeds read the store at
 // once; the others get the items from them, and read the store if that fails. A daemon
 // that restarts while the fleet runs reads it at once, so that it is ready sooner.
 func TestOnlySeedsReadStoreAtFleetStart(t *testing.T) {
@@ -30,12 +30,12 @@
 	require.True(t, starting("other", false).mustWatch(feed, start))
 }
 
-// Guards against daemons that learn too late that an engine leaves: all watchers lose the
-// store just before it announces that. The other daemons could reach the store but did
-// not read it for three seconds, as the watchers still reported a contact that they no
-// longer had, and requests reached the engine after it had gone. Each daemon must read
-// the store early enough to learn of the change within three seconds if the answer takes
-// half a second.
+// Guards against daemons that learn too late that an engine leaves: all watchers lose
+// contact with the store just before the engine announces that. The other daemons could
+// reach the store but did not read it for three seconds, as the watchers still reported a
+// contact that they no longer had, and requests reached the engine after it had exited.
+// Each daemon must read the store early enough to learn of the change within three
+// seconds if the answer takes half a second.
 func TestDaemonsReadStoreAfterWatchersLoseIt(t *testing.T) {
 	const bound, answer = 3 * time.Second, 500 * time.Millisecond
 	start := time.Unix(1000, 0)
@@ -55,7 +55,7 @@
 
 // Guards against daemons that read the store without need: the store is up, each watch
 // waits for a second and ends without changes, and every third report is lost. The
-// daemons that are no watchers must not call the store.
+// daemons that are not watchers must not call the store.
 func TestDaemonsWithRecentContactDoNotReadStore(t *testing.T) {
 	start := time.Unix(1000, 0)
 	watcher, other := newUnstartedCore(start), newUnstartedCore(start)
@@ -77,8 +77,8 @@
 	}
 }
 
-// Guards against daemons that date a contact with the store later each time another
-// daemon passes it on, and so do not read the store while targets leave.
+// Guards against a contact with the store that appears more recent each time a daemon
+// passes it on. The daemons then do not read the store while targets leave.
 func TestForwardedContactKeepsItsAge(t *testing.T) {
 	const bound, answer, daemons, latency = 3 * time.Second, 500 * time.Millisecond, 8, 40 * time.Millisecond
 	type delivery struct {
--- a/io/beryledge/stream.go
+++ b/io/beryledge/stream.go
@@ -81,7 +81,7 @@
 			if call.stream.firstByteTimer != nil {
 				call.stream.firstByteTimer.Stop()
 			}
-			call.noteFirstByte(reply)
+			call.reportFirstByte(reply)
 		}
 		if end := bytes.LastIndex(buffer, eventEnd); end >= 0 {
 			complete := buffer[:end+len(eventEnd)]
