--- a/io/berylconn/exchange.go
+++ b/io/berylconn/exchange.go
@@ -67,7 +67,7 @@
 // ErrUnwanted means that a request was no longer wanted when there was a connection.
 var ErrUnwanted = errors.New("request is no longer wanted")
 
-// Send sends a request and returns once the header of its response was read. Ending
+// Send sends a request and returns once the header of its response was read. Cancelling
 // the context aborts the exchange at any time by closing the connection.
 func (pool *Pool) Send(ctx context.Context, order Order) (*Exchange, error) {
 	now := time.Now()
@@ -129,15 +129,15 @@
 func (exchange *Exchange) Buffered() int { return exchange.conn.reader.Buffered() }
 
 // Done ends an exchange whose response was read completely. It returns the connection
-// to the pool if the next response on it can only be that to the next request.
+// to the pool if the next response on it can only belong to the next request.
 func (exchange *Exchange) Done() {
 	complete := false
 	select {
 	case err := <-exchange.written:
 		complete = err == nil
 	default:
-		// The target responded before it had read the request and would take the
-		// rest of it for the next request.
+		// The target responded before it had read the request and would read the rest
+		// of it as the next request.
 	}
 	framed := exchange.Response.ContentLength >= 0 || len(exchange.Response.TransferEncoding) > 0
 	if !complete || !framed || exchange.skipped || exchange.Response.Close || exchange.conn.reader.Buffered() > 0 || !exchange.stop() {
--- a/io/berylconn/pool.go
+++ b/io/berylconn/pool.go
@@ -22,18 +22,18 @@
 	// one lost packet.
 	dialTimeout = 1200 * time.Millisecond
 	// userTimeout is how long sent data may stay unacknowledged before the connection
-	// is closed. A middlebox may lose the state of an open connection for good;
-	// nothing else detects that.
+	// is closed. A middlebox may permanently lose the state of an open connection, which
+	// nothing else detects.
 	userTimeout = 2 * time.Second
 	// The keep-alive probes detect a broken connection while a response is awaited.
 	keepAliveIdle     = 1500 * time.Millisecond
 	keepAliveInterval = time.Second
 	keepAliveCount    = 2
-	// defaultIdleTimeout is the time after which an idle connection is not reused,
-	// unless the target states its own.
+	// defaultIdleTimeout is the time after which an idle connection is no longer reused,
+	// unless the target states an idle timeout.
 	defaultIdleTimeout = 4 * time.Second
-	// idleMargin is how much before the target's own idle timeout a connection is
-	// closed, so that a request does not cross the target's close.
+	// idleMargin is how long before the target's own idle timeout a connection is
+	// closed, so that the target does not close it while a request is on the way.
 	idleMargin      = 700 * time.Millisecond
 	readBufferBytes = 4096
 )
@@ -74,7 +74,8 @@
 	return pool.dials
 }
 
-// take returns an idle connection, or nil after reserving the right to open one.
+// take returns an idle connection, or nil if a new one may be opened, which it counts as
+// open already.
 func (pool *Pool) take(now time.Time, address string, maxOpen int) (*conn, error) {
 	for {
 		idle, err := pool.takeOne(address, maxOpen)
@@ -94,7 +95,7 @@
 	defer pool.mutex.Unlock()
 	if idle := pool.idle[address]; len(idle) > 0 {
 		// The most recently used is taken first, so that connections beyond the
-		// current need stay idle until they are closed.
+		// current need stay idle until they expire.
 		last := idle[len(idle)-1]
 		pool.idle[address] = idle[:len(idle)-1]
 		return last, nil
@@ -152,7 +153,7 @@
 	}
 }
 
-// dial opens a connection to a target; take must have reserved it.
+// dial opens a connection to a target; take must have counted it.
 func (pool *Pool) dial(ctx context.Context, address string) (*conn, error) {
 	dialer := net.Dialer{
 		Timeout: dialTimeout,
@@ -161,7 +162,7 @@
 		},
 		Control: func(_, _ string, raw syscall.RawConn) error {
 			return raw.Control(func(fd uintptr) {
-				// Without this option the connection still has the keep-alive.
+				// If the option cannot be set, the connection still has keep-alive.
 				_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
 			})
 		},
@@ -174,9 +175,9 @@
 	return &conn{Conn: opened, address: address, reader: bufio.NewReaderSize(opened, readBufferBytes), idleTimeout: defaultIdleTimeout}, nil
 }
 
-// clean reports whether an idle connection is open with nothing to read. That the
-// target closed it, or sent a duplicate response late, would otherwise show only after
-// the next request was sent, when it may have run.
+// clean reports whether an idle connection is open with nothing to read. Otherwise a
+// close by the target, or a late duplicate response, would show only after the next
+// request was sent and may have run.
 func (conn *conn) clean() bool {
 	if conn.reader.Buffered() > 0 {
 		return false
