--- a/io/beryledge/daemon_test.go
+++ b/io/beryledge/daemon_test.go
@@ -283,7 +283,7 @@
 	}
 }
 
-// A daemon that knows no configuration cannot tell a wrong key or path from one that is
+// A daemon without a configuration cannot tell a wrong key or path from one that is
 // declared but not known here yet, so it answers neither 401 nor 404.
 func TestDaemonWithoutConfigurationAnswersUnavailable(t *testing.T) {
 	store := newTestStore()
--- a/io/beryledge/meters.go
+++ b/io/beryledge/meters.go
@@ -116,7 +116,7 @@
 	return dump
 }
 
-// operators serves the metrics and the dump.
+// operators serves the metrics, a CPU profile and the state dump.
 func (daemon *Daemon) operators() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /metrics", func(writer http.ResponseWriter, _ *http.Request) {
--- a/io/beryledge/store.go
+++ b/io/beryledge/store.go
@@ -74,7 +74,7 @@
 }
 
 // mustWatch reports whether this daemon has to read the store itself: because it is one
-// of the watchers, knows nothing yet, or has no recent report of a contact.
+// of the watchers, has no items yet, or has no recent report of a contact.
 func (daemon *Daemon) mustWatch(feed berylfeed.Name, now time.Time) bool {
 	if !daemon.known[feed].Load() {
 		return !daemon.settings.waitsForPeers() || now.Sub(daemon.started) > peerWait
