--- a/io/beryledge/stop.go
+++ b/io/beryledge/stop.go
@@ -15,7 +15,7 @@
 	// stopNotice is the minimum time between the announcement and the end: callers
 	// cache the addresses that they resolved for a while.
 	stopNotice = 1500 * time.Millisecond
-	// stopQuiet is the time without a request after which callers count as disconnected.
+	// stopQuiet is the time without a request after which callers count as having left.
 	stopQuiet = 800 * time.Millisecond
 	// stopReserve is the end of the stop timeout that is reserved for the last answers
 	// to arrive before the process is killed.
