--- a/io/beryledge/entries.go
+++ b/io/beryledge/entries.go
@@ -64,8 +64,8 @@
 }
 
 // Entries returns the addresses for a caller in a failure domain: those of the same
-// domain, else those of its region, else all. Traffic between domains is billed, and callers
-// stop using an address that fails.
+// domain, else those of its region, else all. Traffic between domains is billed, and
+// callers stop using an address that fails.
 func (daemon *Daemon) Entries(domain berylspoke.FailureDomain) []string {
 	entries := daemon.entries.Load()
 	if sameDomain := entries.byDomain[domain]; len(sameDomain) > 0 {
