--- a/core/berylconfig/snapshot.go
+++ b/core/berylconfig/snapshot.go
@@ -30,9 +30,9 @@
 	return body
 }
 
-// Adopt replaces the state by a peer's snapshot if that is ahead, and reports whether it
-// was.
-func (store *Store) Adopt(body []byte) bool {
+// ApplySnapshot replaces the state by a peer's snapshot if that is ahead, and reports
+// whether it was.
+func (store *Store) ApplySnapshot(body []byte) bool {
 	state, err := parseSnapshot(body)
 	if err != nil || state.Number <= store.state.Number {
 		return false
@@ -54,7 +54,7 @@
 		return nil, errors.Errorf("snapshot is not valid: %s", faults[0])
 	}
 	return &State{
-		Number: berylspoke.EntryNumber(wire.Number), Version: berylspoke.ConfigVersion(wire.Version),
+		Number: berylspoke.PatchNumber(wire.Number), Version: berylspoke.ConfigVersion(wire.Version),
 		Hash: Hash(wire.Hash), Declarations: wire.Declarations,
 	}, nil
 }
--- a/core/berylgate/usage_test.go
+++ b/core/berylgate/usage_test.go
@@ -40,16 +40,16 @@
 		own := collectors[gate.options.FailureDomain]
 		reports := gate.UsageReports(now, own == gate)
 		if reports.ToCollectors != nil && own != gate {
-			own.HeardUsage(now, gate.options.VM, *reports.ToCollectors)
+			own.ReceiveUsage(now, gate.options.VM, *reports.ToCollectors)
 		}
 		for _, other := range fleet.gates {
 			near := other.options.FailureDomain == gate.options.FailureDomain
 			switch {
 			case other == gate:
 			case near && reports.ToMembers != nil:
-				other.HeardUsage(now, gate.options.VM, *reports.ToMembers)
+				other.ReceiveUsage(now, gate.options.VM, *reports.ToMembers)
 			case !near && reports.ToDomains != nil && collectors[other.options.FailureDomain] == other:
-				other.HeardUsage(now, gate.options.VM, *reports.ToDomains)
+				other.ReceiveUsage(now, gate.options.VM, *reports.ToDomains)
 			}
 		}
 	}
@@ -114,7 +114,7 @@
 		gate.shares.usage(large).addDemand(now, 45_000)
 		gate.shares.usage(large).served.add(now, 10_000)
 	}
-	small.Rejected(now, map[berylspoke.OrganisationID]berylspoke.Tokens{"pinned": 300_000})
+	small.CountRejected(now, map[berylspoke.OrganisationID]berylspoke.Tokens{"pinned": 300_000})
 	fleet.exchangeRounds(now, 3)
 	seen := fleet.gates[3]
 	require.InEpsilon(t, largeFleetMaxGap*190_000/shareWindow.Seconds(), capSeen(now, seen), 0.01)
@@ -136,7 +136,7 @@
 		rejected[organisation] = berylspoke.Tokens(requests) * 2_000
 	}
 	gate.shares.others = map[uint32]total{hashOf("elsewhere"): {demand: 10 * 100_000 / shareWindow.Seconds()}}
-	gate.Rejected(now, rejected)
+	gate.CountRejected(now, rejected)
 	for organisation, tokens := range map[string]float64{"large": 495 * 2_000, "middle": 385 * 2_000, "small": 22 * 2_000} {
 		usage := gate.shares.usage(hashOf(organisation))
 		require.InEpsilon(t, tokens/shareWindow.Seconds(), usage.demand.now(now), 0.001, organisation)
@@ -172,11 +172,11 @@
 		usage.demand.add(now, 20_000)
 		usage.served.add(now, 5_000)
 		for _, gate := range fleet.gates {
-			request := newRequest(now, "large", berylspoke.Part{ID: uint64(tick), Tokens: 800})
+			request := newRequest(now, "large", berylspoke.PromptSegment{ID: uint64(tick), Tokens: 800})
 			if gate.Submit(now, request).Refusal == nil {
 				served[tick/second] += TokensOf(request)
-				gate.Began(now, request, nil)
-				gate.Ended(now, request, Succeeded)
+				gate.AnswerStarted(now, request, nil)
+				gate.AttemptEnded(now, request, Succeeded)
 			}
 		}
 		fleet.exchange(now)
@@ -200,13 +200,13 @@
 		gate.shares.usage(hashOf(organisation)).served.add(now, tokens)
 	}
 	submit := func(organisation string) Decision {
-		request := newRequest(now, organisation, berylspoke.Part{ID: 1, Tokens: 100}, berylspoke.Part{ID: 2, Tokens: 6_000})
+		request := newRequest(now, organisation, berylspoke.PromptSegment{ID: 1, Tokens: 100}, berylspoke.PromptSegment{ID: 2, Tokens: 6_000})
 		request.Objective = 250 * time.Millisecond
 		return gate.Submit(now, request)
 	}
 	require.NotNil(t, submit("ahead").Refusal)
 	behind := submit("behind")
-	require.Greater(t, behind.Over, 2.0, "beyond its level")
+	require.Greater(t, behind.Overuse, 2.0, "beyond its level")
 	require.Greater(t, behind.Expected, behind.Limit, "later than its own limit")
 	require.Nil(t, behind.Refusal)
 }
@@ -235,12 +235,12 @@
 	count := 0
 	submit := func(gate *Gate, organisation string, round int) {
 		count++
-		request := newRequest(now, organisation, berylspoke.Part{ID: uint64(count), Tokens: sizes[count%len(sizes)]})
+		request := newRequest(now, organisation, berylspoke.PromptSegment{ID: uint64(count), Tokens: sizes[count%len(sizes)]})
 		demand[organisation][round] += float64(TokensOf(request))
 		if gate.Submit(now, request).Refusal == nil {
 			served[organisation][round] += float64(TokensOf(request))
-			gate.Began(now, request, nil)
-			gate.Ended(now, request, Succeeded)
+			gate.AnswerStarted(now, request, nil)
+			gate.AttemptEnded(now, request, Succeeded)
 		}
 	}
 	for tick := range rounds * second {
@@ -296,15 +296,15 @@
 	gate := newGate(now, 1, 4, false)
 	require.Empty(t, gate.Allowances(now))
 	for range 20 {
-		gate.RejectedOverCap(now, map[berylspoke.OrganisationID]berylspoke.Tokens{"flood": 100_000})
+		gate.CountRejectedOverCap(now, map[berylspoke.OrganisationID]berylspoke.Tokens{"flood": 100_000})
 	}
-	gate.Submit(now, newRequest(now, "small", berylspoke.Part{ID: 1, Tokens: 1_000}))
+	gate.Submit(now, newRequest(now, "small", berylspoke.PromptSegment{ID: 1, Tokens: 1_000}))
 	now = now.Add(levelInterval)
 	allowances := gate.Allowances(now)
 	require.Len(t, allowances, 1, "only the flood is beyond its cap")
 	require.Positive(t, allowances["flood"])
 	for allowances["flood"] > 0 {
-		request := newRequest(now, "flood", berylspoke.Part{ID: 2, Tokens: 30_000})
+		request := newRequest(now, "flood", berylspoke.PromptSegment{ID: 2, Tokens: 30_000})
 		require.False(t, math.IsInf(gate.overuse(now, gate.pools[drafts], request), 1), "it may start its allowance")
 		gate.shares.usageOf("flood").countSent(now, TokensOf(request))
 		allowances = gate.Allowances(now)
--- a/core/berylnode/node.go
+++ b/core/berylnode/node.go
@@ -30,8 +30,8 @@
 	id      berylspoke.ServiceID
 	queue   *berylshare.Queue
 	holder  *berylslot.Holder
-	lessor  *berylslot.Keeper
-	lessors *berylroute.Keepers
+	lessor  *berylslot.Lessor
+	lessors *berylroute.Lessors
 	// round selects the last of the lessors to ask, which rotates; rotated is the time of
 	// its last change.
 	round   uint64
@@ -42,10 +42,10 @@
 
 // activeRequest is a request that holds a slot.
 type activeRequest struct {
-	service *service
-	started *berylshare.StartedRequest
-	place   berylslot.Place
-	call    *berylticket.CallID
+	service   *service
+	started   *berylshare.StartedRequest
+	placement berylslot.Placement
+	call      *berylticket.CallID
 }
 
 // Node is the state machine of one daemon.
@@ -92,7 +92,7 @@
 func New(now time.Time, options Options, seed uint64) *Node {
 	self := berylspoke.Process{VM: options.VM.ID, Incarnation: options.Incarnation}
 	options.Queue.Policy = options.Policy
-	options.Keeper.IgnoreTags = options.Policy != berylshare.FleetFair
+	options.Lessor.IgnoreTags = options.Policy != berylshare.FleetFair
 	return &Node{
 		options:            options,
 		self:               self,
@@ -108,7 +108,7 @@
 		health:             berylroute.NewHealth(),
 		prefixes:           berylroute.NewPrefixes(),
 		retryBudget:        berylroute.NewBudget(now, 1, retryBurst),
-		crossBudget:        berylroute.NewBudget(now, options.CrossBytes, options.CrossBytes*crossBurstSeconds),
+		crossBudget:        berylroute.NewBudget(now, options.CrossBytesPerSecond, options.CrossBytesPerSecond*crossBurstSeconds),
 		pendingPermits:     make(map[berylticket.CallID]*pendingPermit),
 		pendingSettlements: make(map[uint64]*pendingSettlement),
 		reportedAt:         make(map[berylspoke.VMID]time.Time),
@@ -149,11 +149,11 @@
 // Draining reports whether the daemon is leaving.
 func (node *Node) Draining() bool { return node.table.Member(node.self.VM).Rumour.Leaving }
 
-// Close makes the node refuse new requests; waiting and running requests continue.
-func (node *Node) Close() { node.closed = true }
+// StopAccepting makes the node refuse new requests; waiting and running requests continue.
+func (node *Node) StopAccepting() { node.closed = true }
 
-// Busy returns the number of waiting and running requests.
-func (node *Node) Busy() int { return len(node.waiting) + len(node.running) }
+// ActiveRequests returns the number of waiting and running requests.
+func (node *Node) ActiveRequests() int { return len(node.waiting) + len(node.running) }
 
 // SetVMs applies the platform's list of VMs.
 func (node *Node) SetVMs(now time.Time, vms []berylspoke.VM) {
@@ -195,10 +195,10 @@
 
 func (node *Node) heartbeat(now time.Time) {
 	for _, due := range node.table.Tick(now) {
-		beat := due.Beat
-		beat.Number, beat.Serving = node.store.State().Number, node.Ready()
+		heartbeat := due.Heartbeat
+		heartbeat.ConfigNumber, heartbeat.Serving = node.store.State().Number, node.Ready()
 		for _, to := range due.To {
-			node.sendOrDefer(now, to, beat, len(beat.Rumours) > 0)
+			node.sendOrDefer(now, to, heartbeat, len(heartbeat.Rumours) > 0)
 		}
 	}
 }
@@ -282,8 +282,8 @@
 	node.flushDeferred(now)
 }
 
-// Take returns and clears the effects accumulated since the last call.
-func (node *Node) Take() Effects {
+// TakeEffects returns and clears the effects accumulated since the last call.
+func (node *Node) TakeEffects() Effects {
 	effects := node.effects
 	node.effects = Effects{}
 	return effects
@@ -300,13 +300,13 @@
 	if node.options.Policy == berylshare.FirstCome {
 		return
 	}
-	need := berylslot.Need{
-		Waiting: service.queue.Waiting(),
-		Tags:    service.queue.Tags(berylslot.AskTags, node.options.Keeper.Slack),
-		Time:    service.queue.VirtualTime(),
+	state := berylslot.QueueState{
+		Waiting:     service.queue.Waiting(),
+		Tags:        service.queue.Tags(berylslot.MaxDemandTags, node.options.Lessor.Slack),
+		VirtualTime: service.queue.VirtualTime(),
 	}
-	for _, ask := range service.holder.Asks(now, node.lessorsToAsk(now, service), need) {
-		node.sendOrDefer(now, ask.To, ask.Ask, ask.Urgent)
+	for _, demand := range service.holder.Demands(now, node.activeLessors(now, service), state) {
+		node.sendOrDefer(now, demand.To, demand.Demand, demand.Urgent)
 	}
 }
 
@@ -328,13 +328,13 @@
 		node.handlePullRequest(from, message)
 	case berylconfig.PullAnswer:
 		node.handlePullAnswer(now, from, message)
-	case berylslot.Ask:
+	case berylslot.Demand:
 		if service := node.services[message.Service]; service != nil && service.lessor != nil {
-			service.lessor.Ask(now, message)
+			service.lessor.ApplyDemand(now, message)
 		}
 	case berylslot.Lease:
 		if service := node.services[message.Service]; service != nil {
-			service.holder.Take(message)
+			service.holder.ApplyLease(message)
 		}
 	case berylshare.Reports:
 		node.handleReports(now, message)
@@ -345,11 +345,11 @@
 	case berylticket.PermitAnswer:
 		node.handlePermitAnswer(now, message)
 	case berylticket.SettleRequest:
-		standing := node.owner.Settle(now, message.ID)
-		node.send(from, berylticket.SettleAnswer{ID: message.ID, Token: message.Token, Standing: standing})
+		status := node.owner.Settle(now, message.ID)
+		node.send(from, berylticket.SettleAnswer{ID: message.ID, Token: message.Token, Status: status})
 	case berylticket.CloseRequest:
-		standing := node.witness.Close(message.ID)
-		node.send(from, berylticket.SettleAnswer{ID: message.ID, Token: message.Token, Standing: standing, ByWitness: true})
+		status := node.witness.Close(message.ID)
+		node.send(from, berylticket.SettleAnswer{ID: message.ID, Token: message.Token, Status: status, ByWitness: true})
 	case berylticket.SettleAnswer:
 		node.handleSettleAnswer(now, message)
 	}
--- a/io/beryledge/store_test.go
+++ b/io/beryledge/store_test.go
@@ -30,7 +30,7 @@
 	require.True(t, starting("other", false).mustWatch(feed, start))
 }
 
-// Guards against daemons that learn too late that an engine leaves: all watchers lose
+// Guards against daemons that learn too late that an engine is draining: all watchers lose
 // contact with the store just before the engine announces that. The other daemons could
 // reach the store but did not read it for three seconds, as the watchers still reported a
 // contact that they no longer had, and requests reached the engine after it had exited.
@@ -78,7 +78,7 @@
 }
 
 // Guards against a contact with the store that appears more recent each time a daemon
-// passes it on. The daemons then do not read the store while targets leave.
+// passes it on. The daemons then do not read the store while targets drain.
 func TestForwardedContactKeepsItsAge(t *testing.T) {
 	const bound, answer, daemons, latency = 3 * time.Second, 500 * time.Millisecond, 8, 40 * time.Millisecond
 	type delivery struct {
--- a/io/berylstand/engine.go
+++ b/io/berylstand/engine.go
@@ -63,9 +63,9 @@
 }
 
 type engineLoad struct {
-	Running int              `json:"running"`
-	Waiting int              `json:"waiting"`
-	Order   berylspoke.Order `json:"held"`
+	Running int                    `json:"running"`
+	Waiting int                    `json:"waiting"`
+	Order   berylspoke.EngineOrder `json:"held"`
 }
 
 type cacheEvent struct {
@@ -93,7 +93,7 @@
 	// report is the load report, updated by Run.
 	report engineLoad
 	// order is the last order accepted.
-	order berylspoke.Order
+	order berylspoke.EngineOrder
 	// prefixes are the hashes of the cached prefixes, least recently used first.
 	prefixes []uint64
 	events   []cacheEvent
@@ -156,8 +156,8 @@
 	return fmt.Sprintf("w%d ", xxhash.Sum64String(fmt.Sprintf("%s#%d", prompt, index))%10000)
 }
 
-// Text returns the whole text generated for a prompt.
-func Text(prompt string, maxTokens int64) string {
+// OutputText returns the whole text generated for a prompt.
+func OutputText(prompt string, maxTokens int64) string {
 	var text strings.Builder
 	for index := range OutputLength(prompt, maxTokens) {
 		text.WriteString(OutputToken(prompt, index))
@@ -315,7 +315,7 @@
 }
 
 func (engine *Engine) serveOrder(writer http.ResponseWriter, request *http.Request) {
-	var order berylspoke.Order
+	var order berylspoke.EngineOrder
 	if err := json.NewDecoder(request.Body).Decode(&order); err != nil {
 		http.Error(writer, "order is garbled", http.StatusBadRequest)
 		return
@@ -330,8 +330,8 @@
 	writeJSON(writer, engine.order)
 }
 
-// Held returns the last order accepted.
-func (engine *Engine) Held() berylspoke.Order {
+// CurrentOrder returns the last order accepted.
+func (engine *Engine) CurrentOrder() berylspoke.EngineOrder {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
 	return engine.order
