--- a/io/beryledge/idle.go
+++ b/io/beryledge/idle.go
@@ -23,7 +23,8 @@
 	maxConnFraction = 0.3
 )
 
-// idleConns tracks the callers' connections.
+// idleConns tracks the callers' connections, together with those to the daemon's other
+// HTTP servers.
 type idleConns struct {
 	open  atomic.Int64
 	mutex sync.Mutex
