--- a/io/beryledge/stream.go
+++ b/io/beryledge/stream.go
@@ -81,7 +81,7 @@
 			if call.stream.firstByteTimer != nil {
 				call.stream.firstByteTimer.Stop()
 			}
-			call.noteFirstByte(info)
+			call.reportFirstByte(info)
 		}
 		if end := bytes.LastIndex(buffer, eventEnd); end >= 0 {
 			complete := buffer[:end+len(eventEnd)]
