--- a/core/berylshare/account.go
+++ b/core/berylshare/account.go
@@ -18,9 +18,9 @@
 	reserved     berylspoke.Tokens
 	estimator    estimator
 
-	// counter is the total that this process charged, and acknowledged the part of it that
-	// includes. base is the tag that the ledger last reported, and floor the highest tag
-	// that the account was raised to.
+	// counter is the total that this process charged. base is the tag that the ledger last
+	// reported, and acknowledged the part of counter that base includes. floor is the
+	// highest tag that the account was raised to.
 	counter, acknowledged berylspoke.Tokens
 	base, floor           berylspoke.Tag
 	// clamp is zero or negative. It is added to the fleet-wide tag to keep an organisation
--- a/core/berylshare/doc.go
+++ b/core/berylshare/doc.go
@@ -15,5 +15,5 @@
 // A Queue belongs to one entry daemon and one service. A Ledger sums the counters of the
 // entry daemons that serve an organisation into its tag. Counters are cumulative per
 // process, so lost, duplicated or late reports do no harm. A ledger that starts empty
-// adopts the totals that each entry daemon has had acknowledged.
+// continues from the totals that an earlier ledger acknowledged to the entry daemons.
 package berylshare
--- a/core/berylshare/queue.go
+++ b/core/berylshare/queue.go
@@ -49,9 +49,9 @@
 	backlog     accountHeap
 	waiting     int
 	virtualTime berylspoke.Tag
-	// fresh reports whether time is the pool's current virtual time. provisional holds the
-	// accounts that became backlogged while it was not; their tags are raised once the
-	// current virtual time is known.
+	// fresh reports whether virtualTime is the pool's current virtual time. provisional
+	// holds the accounts that became backlogged while it was not; their tags are raised
+	// once the current virtual time is known.
 	fresh       bool
 	provisional []*account
 }
--- a/core/berylshare/report.go
+++ b/core/berylshare/report.go
@@ -123,10 +123,10 @@
 
 // Organisations returns the state of each organisation that has an account, sorted by ID.
 func (queue *Queue) Organisations() []OrganisationState {
-	var shares []OrganisationState
+	var states []OrganisationState
 	for id, account := range queue.accounts {
-		shares = append(shares, OrganisationState{id, len(account.waiting), account.running, account.counter, account.tag()})
+		states = append(states, OrganisationState{id, len(account.waiting), account.running, account.counter, account.tag()})
 	}
-	sort.Slice(shares, func(i, j int) bool { return shares[i].Organisation < shares[j].Organisation })
-	return shares
+	sort.Slice(states, func(i, j int) bool { return states[i].Organisation < states[j].Organisation })
+	return states
 }
--- a/core/berylshare/share_test.go
+++ b/core/berylshare/share_test.go
@@ -152,8 +152,8 @@
 				t.Fatalf("entry daemon %d has tag %d, want %d", i, tag, wanted)
 			}
 		}
-		// A ledger that starts empty continues from the totals that the entry daemons
-		// know.
+		// A ledger that starts empty continues from the totals acknowledged to the entry
+		// daemons.
 		ledger = NewLedger()
 		reportAll()
 		for i := range entries {
--- a/core/berylshare/waiting.go
+++ b/core/berylshare/waiting.go
@@ -38,9 +38,9 @@
 }
 
 const (
-	// minGain is the lowest weight of a new cost in the mean.
+	// minGain is the minimum weight of a new cost in the mean.
 	minGain = 0.1
-	// minSamples is the number of costs from which on the mean bounds hints.
+	// minSamples is the number of costs after which the mean bounds hints.
 	minSamples = 4
 	// maxHintFactor bounds the ratio between a hint and the mean, in both directions.
 	maxHintFactor = 4
