--- a/core/berylslot/assign.go
+++ b/core/berylslot/assign.go
@@ -90,8 +90,8 @@
 	return unmet
 }
 
-// next returns the holder whose next unmet request has the lowest tag; with IgnoreTags it
-// takes the holders in turn.
+// next returns the index of the holder whose next unmet request has the lowest tag; with
+// IgnoreTags it takes the holders in turn.
 func (lessor *Keeper) next(holders []*holderState, met []int) int {
 	best := -1
 	lessor.rotation++
@@ -126,10 +126,10 @@
 	for _, holder := range lessor.holders {
 		surplus := holder.idle() - holder.waiting
 		for _, slots := range holder.targets {
-			back := min(surplus, slots.granted-slots.used)
-			if back > 0 {
-				slots.granted -= back
-				surplus -= back
+			recalled := min(surplus, slots.granted-slots.used)
+			if recalled > 0 {
+				slots.granted -= recalled
+				surplus -= recalled
 				holder.markChanged()
 			}
 		}
--- a/core/berylslot/holder.go
+++ b/core/berylslot/holder.go
@@ -357,12 +357,14 @@
 	return demands
 }
 
-// forgetAfter is the time after which no lease of a lessor can arrive any more.
+// forgetAfter is the time after the last demand at which the state of an unlisted lessor
+// is dropped, as no lease from it can arrive any more.
 const forgetAfter = 2 * LeaseDuration
 
-// returnIdle returns the idle slots granted by a lessor that gets no more demands.
-// Without notice these slots would stay idle until the lessor considers the entry daemon
-// dead. A lease that was in flight is returned the same way.
+// returnIdle returns the idle slots granted by a lessor that is no longer listed, and
+// withdraws the demand last reported to it. Otherwise these slots would stay idle until
+// the lessor considers the entry daemon dead. Slots granted by a lease that was in flight
+// are returned the same way.
 func (view *lessorView) returnIdle() {
 	if view.reportedWaiting > 0 {
 		view.dirty = true
--- a/core/berylslot/keeper.go
+++ b/core/berylslot/keeper.go
@@ -94,7 +94,7 @@
 	virtualTime berylspoke.Tag
 	takenOver   time.Time
 	rotation    int
-	// lastUnmet is when a request last waited for lack of a slot.
+	// lastUnmet is when a waiting request last got no slot.
 	lastUnmet time.Time
 	// sequence numbers the leases to all entry daemons. If a number were used twice for
 	// an entry daemon that was removed and came back, a late old lease could make it
@@ -209,9 +209,9 @@
 	return raised
 }
 
-// advanceTime advances the virtual time; a lessor that starts empty adopts the entry
-// daemons' time, or organisations with a new backlog would take precedence over all
-// others for long.
+// advanceTime advances the virtual time. A lessor that starts empty adopts the time of the
+// first entry daemon that reports one; otherwise organisations with a new backlog would
+// take precedence over all others for a long time.
 func (lessor *Keeper) advanceTime(demand Ask) {
 	if lessor.virtualTime == 0 {
 		lessor.virtualTime = demand.Time
--- a/core/berylslot/limiter.go
+++ b/core/berylslot/limiter.go
@@ -28,8 +28,9 @@
 // may be late.
 const reportWindow = 3 * time.Second
 
-// raiseDivisor makes a target count as full at seven eighths of its limit; idle slots
-// that entry daemons hold must not raise the limit.
+// raiseDivisor makes a target count as full, so that its limit may be raised, only when it
+// runs at least seven eighths of the limit; idle slots that entry daemons hold must not
+// raise the limit.
 const raiseDivisor = 8
 
 type useSample struct {
--- a/core/berylslot/slot_test.go
+++ b/core/berylslot/slot_test.go
@@ -190,7 +190,7 @@
 }
 
 // A target's lessor changes while requests run. The new lessor starts empty; it must
-// receive what runs before it leases the same slots again.
+// learn which slots are in use before it leases them again.
 func TestNewLessorLearnsRunningRequests(t *testing.T) {
 	pool := newPool()
 	pool.waiting["e1"] = 20
@@ -206,9 +206,9 @@
 	require.Zero(t, pool.waiting["e1"])
 }
 
-// An entry daemon was partitioned until its lessor removed it. On its return the lessor
-// numbered its leases from the start; the entry daemon dropped them as old, and its
-// callers waited although slots were free.
+// An entry daemon is partitioned until its lessor removes it. Guards against a lessor that
+// restarts its lease numbers when the entry daemon returns: the entry daemon dropped such
+// leases as old, and its callers waited although slots were free.
 func TestReturningEntryIsServedAgain(t *testing.T) {
 	pool := newPool()
 	for range 30 {
