--- a/core/berylticket/ticket_test.go
+++ b/core/berylticket/ticket_test.go
@@ -10,8 +10,8 @@
 	"berylspoke"
 )
 
-// simulation is one owner VM, one witness VM and every message ever sent between them;
-// any of them may arrive at any later time, repeatedly.
+// simulation is one owner VM, one witness VM and all messages sent between them; each
+// message may arrive at any later time, repeatedly.
 type simulation struct {
 	now      time.Time
 	owner    *Owner
--- a/core/berylticket/witness.go
+++ b/core/berylticket/witness.go
@@ -6,6 +6,7 @@
 	"berylspoke"
 )
 
+// mark is the witness's final decision on an id.
 type mark uint8
 
 const (
@@ -45,9 +46,9 @@
 // answer.
 func (witness *Witness) Permit(id CallID) bool {
 	if id.Ticket.Witness != witness.self {
-		// A restarted witness has lost what its earlier process closed. If it granted
-		// permits for tickets of that process, an id reported as not run could still run.
-		// It grants none, so the id stays not run.
+		// A restarted witness has lost the closes of its earlier process. If it granted
+		// permits for tickets that name that process, an id reported as not run could
+		// still run.
 		return false
 	}
 	return witness.decide(id, permitted) == permitted
@@ -94,7 +95,7 @@
 	return wanted
 }
 
-// trim raises the watermark past the lowest serials until at most bound marks are left.
+// trim raises the watermark past the lowest serials until at most bound marks remain.
 func (owner *ownerMarks) trim(bound int) {
 	for owner.marks > bound {
 		lowest := ^uint64(0)
