--- a/core/berylmember/detect.go
+++ b/core/berylmember/detect.go
@@ -36,20 +36,19 @@
 		table.lastRecheck = now
 		due = append(due, table.recheck(now)...)
 		if dead := table.deadSuccessor(now); dead != "" {
-			// The heartbeat reports to its receiver that it is considered dead. If only
-			// one side of a healed partition believes so, nothing else makes the receiver
+			// The heartbeat carries the rumour that its receiver is dead. If only one side
+			// of a healed partition holds that rumour, nothing else makes the receiver
 			// refute it.
-			belief := []Rumour{table.members[dead].Rumour}
-			due = append(due, Due{To: []berylspoke.VMID{dead}, Beat: table.heartbeat(belief)})
+			deadRumour := []Rumour{table.members[dead].Rumour}
+			due = append(due, Due{To: []berylspoke.VMID{dead}, Beat: table.heartbeat(deadRumour)})
 		}
 	}
 	return due
 }
 
-// recheck sends one linked daemon, in turn, the rumours of daemons that are not alive. A
+// recheck sends one linked daemon, in turn, the rumours about daemons that are not alive. A
 // refutation is sent only a few times and may be lost; without this the refuting daemon
-// would stay dead in this table forever. A receiver that knows better replies with
-// corrections.
+// would stay dead in this table forever. A receiver with newer rumours replies with these.
 func (table *Table) recheck(now time.Time) []Due {
 	notAlive, linked := table.notAlive(), table.Links()
 	if len(notAlive) == 0 || len(linked) == 0 {
@@ -60,8 +59,8 @@
 }
 
 // detect marks silent members as suspect, and suspects as dead once their time to refute
-// is over. A daemon that was paused itself has received nothing during the pause; its
-// caller calls Resume first.
+// is over. After a pause of this daemon, Resume must be called first, since the daemon
+// received nothing during the pause.
 func (table *Table) detect(now time.Time) {
 	for id, since := range table.monitoredSince {
 		member := table.members[id]
--- a/core/berylmember/open_test.go
+++ b/core/berylmember/open_test.go
@@ -29,9 +29,9 @@
 	require.Contains(t, seed.Live(), berylspoke.VMID("newcomer"))
 }
 
-// 340 daemons each requested all that a peer knows every five seconds: 20 KB in each
-// answer, more than all other control traffic. Daemons that know the same must not send
-// it; one that missed that a daemon is leaving, or its new incarnation, must still
+// 340 daemons each requested the full table of a peer every five seconds: 20 KB in each
+// answer, more than all other control traffic. Daemons with equal tables must not exchange
+// them; a daemon that missed that another is leaving, or its new incarnation, must still
 // receive it.
 func TestSyncSendsOnlyDifferingTables(t *testing.T) {
 	now := time.Unix(0, 0)
--- a/core/berylmember/spread.go
+++ b/core/berylmember/spread.go
@@ -31,7 +31,7 @@
 	return rumours
 }
 
-// notAlive lists the rumours of daemons that are suspect or dead.
+// notAlive returns the rumours about daemons that are suspect or dead.
 func (table *Table) notAlive() []Rumour {
 	var notAlive []Rumour
 	for _, member := range table.All() {
--- a/core/berylmember/table.go
+++ b/core/berylmember/table.go
@@ -42,8 +42,8 @@
 }
 
 const (
-	// rumourRounds is how often a rumour is sent on each link; the repetition covers a
-	// lost datagram.
+	// rumourRounds is how many times a rumour is sent on each link; the repetition covers
+	// a lost datagram.
 	rumourRounds = 2
 	// rumoursPerHeartbeat keeps a heartbeat within one datagram.
 	rumoursPerHeartbeat = 16
@@ -183,9 +183,9 @@
 	return heartbeat
 }
 
-// digest returns a hash of what is believed of the live daemons. Daemons with the same
-// beliefs need not exchange them: in steady state that is nearly always the case, and the
-// size of all beliefs grows with the fleet.
+// digest returns a hash of the rumours about live daemons. Daemons with the same rumours
+// need not exchange them: in steady state that is nearly always the case, and the size of
+// all rumours grows with the fleet.
 func (table *Table) digest() uint64 {
 	var digest uint64
 	for id, member := range table.members {
@@ -288,9 +288,10 @@
 		return &reply
 	}
 	if oldStatus == Dead && member.Rumour.Status == Alive {
-		// After a healed partition the other side learns from this reply whom this side
-		// considers dead, and its daemons refute that. The heartbeats to dead neighbours
-		// alone reach only the few daemons that are ring neighbours across the partition.
+		// After a healed partition the other side learns from this reply which daemons
+		// this side considers dead, and they refute that. The heartbeats to dead
+		// neighbours alone reach only the few daemons that are ring neighbours across the
+		// partition.
 		reply := table.heartbeat(table.notAlive())
 		return &reply
 	}
@@ -359,8 +360,8 @@
 	table.enqueue(table.self.VM.ID)
 }
 
-// refute overrides a false rumour about this daemon, which a monitor behind a partition
-// or a pause of this daemon caused.
+// refute overrides a false rumour about this daemon. Such rumours arise when a partition or
+// a pause of this daemon keeps its heartbeats from a monitor.
 func (table *Table) refute(rumour Rumour) {
 	if rumour.Process.Incarnation > table.self.Rumour.Process.Incarnation {
 		table.earlier = max(table.earlier, rumour.Process.Incarnation)
