--- a/core/berylconfig/config_test.go
+++ b/core/berylconfig/config_test.go
@@ -74,9 +74,9 @@
 	return body
 }
 
-// Readers receive the same patches from a platform that goes back and from peers, in any
-// pieces and any order. All readers at the same number hold the same version, and none
-// ever goes back.
+// Readers receive the same patches from peers and from a platform that may show an older
+// history, in batches of any size and order. All readers at the same number hold the same
+// version, and the version of a reader never decreases.
 func TestReadersAgreeAndNeverRevert(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var published []berylspoke.Published
@@ -134,8 +134,8 @@
 	})
 }
 
-// A daemon was away for longer than its peers keep entries. It must get a snapshot and
-// reach their state.
+// A daemon lacks entries that its peers no longer keep. It must get a snapshot and reach
+// their state.
 func TestSnapshotReplacesLostEntries(t *testing.T) {
 	ahead, behind := NewStore(), NewStore()
 	for number := range 2 * maxEntries {
@@ -199,11 +199,11 @@
 // foldMany declares organisations in patches of 5,000 and returns the total size of the
 // patches in bytes.
 func foldMany(store *Store, count int) int {
-	const each = 5000
+	const perPatch = 5000
 	total := 0
-	for start := 0; start < count; start += each {
+	for start := 0; start < count; start += perPatch {
 		patch := &Patch{Base: store.State().Version, Organisations: make(map[berylspoke.OrganisationID]*Organisation)}
-		for i := start; i < min(start+each, count); i++ {
+		for i := start; i < min(start+perPatch, count); i++ {
 			patch.Organisations[berylspoke.OrganisationID(fmt.Sprintf("org-%d", i))] = &Organisation{
 				Weight: berylspoke.Weight(1 + i%9), KeyDigests: []string{fmt.Sprintf("%064x", i)},
 			}
--- a/core/berylconfig/store.go
+++ b/core/berylconfig/store.go
@@ -18,7 +18,7 @@
 // decreases.
 type Store struct {
 	state *State
-	// entries are the last ones folded, up to the number in force.
+	// entries are the last folded entries, up to the number in force.
 	entries  []berylspoke.Published
 	bytes    int
 	outcomes []Outcome
