--- a/core/berylnode/calls.go
+++ b/core/berylnode/calls.go
@@ -61,16 +61,16 @@
 
 func (node *Node) handlePermitAnswer(now time.Time, answer berylticket.PermitAnswer) {
 	dispatch, refused := node.owner.Permit(now, answer.ID, answer.Granted)
-	wait := node.pendingPermits[answer.ID]
+	pending := node.pendingPermits[answer.ID]
 	delete(node.pendingPermits, answer.ID)
-	if wait == nil {
+	if pending == nil {
 		return
 	}
 	if dispatch {
-		node.launch(wait.active)
+		node.launch(pending.active)
 	}
 	if refused {
-		node.abandon(now, wait.active, berylspoke.ReasonWitness)
+		node.abandon(now, pending.active, berylspoke.ReasonWitness)
 	}
 }
 
@@ -78,15 +78,15 @@
 // answer. The owner first records the ID as not run, so a permit that arrives later finds
 // it finished and dispatches nothing.
 func (node *Node) tickPermits(now time.Time) {
-	for id, wait := range node.pendingPermits {
+	for id, pending := range node.pendingPermits {
 		switch {
-		case now.Sub(wait.since) > node.options.PermitTimeout:
+		case now.Sub(pending.since) > node.options.PermitTimeout:
 			delete(node.pendingPermits, id)
 			if node.owner.GiveUp(now, id) {
-				node.abandon(now, wait.active, berylspoke.ReasonWitness)
+				node.abandon(now, pending.active, berylspoke.ReasonWitness)
 			}
-		case now.Sub(wait.sent) > resendAfter:
-			wait.sent = now
+		case now.Sub(pending.sent) > resendAfter:
+			pending.sent = now
 			node.send(id.Ticket.Witness.VM, berylticket.PermitRequest{ID: id})
 		}
 	}
@@ -98,13 +98,13 @@
 		node.completeSettlement(token, node.owner.Settle(now, id))
 		return
 	}
-	wait := &pendingSettlement{id: id, since: now}
-	node.pendingSettlements[token] = wait
+	pending := &pendingSettlement{id: id, since: now}
+	node.pendingSettlements[token] = pending
 	if node.table.Known(id.Ticket.Owner.VM) > id.Ticket.Owner.Incarnation {
-		node.settleAtWitness(now, token, wait)
+		node.settleAtWitness(now, token, pending)
 		return
 	}
-	node.sendSettleRequest(now, token, wait)
+	node.sendSettleRequest(now, token, pending)
 }
 
 func (node *Node) completeSettlement(token uint64, standing berylticket.Standing) {
@@ -115,52 +115,52 @@
 // settleAtWitness asks the witness when the owner is gone or does not answer. Only a close
 // by the witness process named in the ticket proves "not run". A silent owner proves
 // nothing: it may be frozen between getting its permit and dispatching.
-func (node *Node) settleAtWitness(now time.Time, token uint64, wait *pendingSettlement) {
-	wait.atWitness, wait.since = true, now
-	witness := wait.id.Ticket.Witness
+func (node *Node) settleAtWitness(now time.Time, token uint64, pending *pendingSettlement) {
+	pending.atWitness, pending.since = true, now
+	witness := pending.id.Ticket.Witness
 	switch {
 	case witness == (berylspoke.Process{}):
 		node.completeSettlement(token, berylticket.StandsMayHaveRun)
 	case witness == node.self:
-		node.completeSettlement(token, node.witness.Close(wait.id))
+		node.completeSettlement(token, node.witness.Close(pending.id))
 	default:
-		node.sendSettleRequest(now, token, wait)
+		node.sendSettleRequest(now, token, pending)
 	}
 }
 
-func (node *Node) sendSettleRequest(now time.Time, token uint64, wait *pendingSettlement) {
-	wait.sent = now
-	if wait.atWitness {
-		node.send(wait.id.Ticket.Witness.VM, berylticket.CloseRequest{ID: wait.id, Token: token})
+func (node *Node) sendSettleRequest(now time.Time, token uint64, pending *pendingSettlement) {
+	pending.sent = now
+	if pending.atWitness {
+		node.send(pending.id.Ticket.Witness.VM, berylticket.CloseRequest{ID: pending.id, Token: token})
 		return
 	}
-	node.send(wait.id.Ticket.Owner.VM, berylticket.SettleRequest{ID: wait.id, Token: token})
+	node.send(pending.id.Ticket.Owner.VM, berylticket.SettleRequest{ID: pending.id, Token: token})
 }
 
 func (node *Node) handleSettleAnswer(now time.Time, answer berylticket.SettleAnswer) {
-	wait := node.pendingSettlements[answer.Token]
-	if wait == nil || wait.id != answer.ID || wait.atWitness != answer.ByWitness {
+	pending := node.pendingSettlements[answer.Token]
+	if pending == nil || pending.id != answer.ID || pending.atWitness != answer.ByWitness {
 		return
 	}
 	switch {
 	case answer.Standing != berylticket.Unknowable:
 		node.completeSettlement(answer.Token, answer.Standing)
-	case wait.atWitness:
+	case pending.atWitness:
 		node.completeSettlement(answer.Token, berylticket.StandsMayHaveRun)
 	default:
-		node.settleAtWitness(now, answer.Token, wait)
+		node.settleAtWitness(now, answer.Token, pending)
 	}
 }
 
 func (node *Node) tickSettlements(now time.Time) {
-	for token, wait := range node.pendingSettlements {
+	for token, pending := range node.pendingSettlements {
 		switch {
-		case now.Sub(wait.since) > node.options.SettleTimeout && wait.atWitness:
+		case now.Sub(pending.since) > node.options.SettleTimeout && pending.atWitness:
 			node.completeSettlement(token, berylticket.StandsMayHaveRun)
-		case now.Sub(wait.since) > node.options.SettleTimeout:
-			node.settleAtWitness(now, token, wait)
-		case now.Sub(wait.sent) > resendAfter:
-			node.sendSettleRequest(now, token, wait)
+		case now.Sub(pending.since) > node.options.SettleTimeout:
+			node.settleAtWitness(now, token, pending)
+		case now.Sub(pending.sent) > resendAfter:
+			node.sendSettleRequest(now, token, pending)
 		}
 	}
 }
--- a/core/berylnode/calls_test.go
+++ b/core/berylnode/calls_test.go
@@ -124,9 +124,9 @@
 }
 
 // Callers retry and settle non-idempotent requests at several daemons, while daemons
-// crash, freeze beyond every timeout and resume, links are cut, and messages are lost,
-// duplicated and delayed. Guards against a request that runs twice or runs after "not
-// run" was reported, and against a settlement without an answer once the faults stop.
+// crash, freeze for longer than every timeout and resume, links are cut, and messages are
+// lost, duplicated and delayed. Guards against a request that runs twice or runs after
+// "not run" was reported, and against a settlement without an answer once the faults stop.
 func TestCallsUnderDrawnFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sim := &callSimulation{fakeFleet: plainServiceFleet(rapid.Uint64().Draw(t, "seed")), cuts: make(map[[2]berylspoke.VMID]bool)}
--- a/core/berylnode/config.go
+++ b/core/berylnode/config.go
@@ -20,14 +20,14 @@
 	startupGrace = 3 * time.Second
 	// startupResendAfter is the time between two messages to a peer that does not answer.
 	startupResendAfter = 300 * time.Millisecond
-	// maxStartupPeers bounds the peers asked during startup.
+	// maxStartupPeers bounds the peers queried during startup.
 	maxStartupPeers = 8
 	// watchersPerDomain is the number of daemons in a failure domain that watch the
 	// platform; the others get updates from peers.
 	watchersPerDomain = 2
 )
 
-// startupPeer is the state of a peer that a starting daemon asks.
+// startupPeer is the state of a peer that a starting daemon queries.
 type startupPeer struct {
 	sent time.Time
 	// heartbeatReceived reports whether a heartbeat of the peer arrived, which names an
@@ -91,9 +91,9 @@
 }
 
 // raiseIncarnation takes an incarnation above that of an earlier run of this daemon if
-// the VM's clock went back between the runs; otherwise peers would take this run for the
-// earlier one. Its owner and witness state can be replaced, since no request is served
-// before startup is complete.
+// the VM's clock stepped back between the runs; otherwise peers would ignore the messages
+// of this run as old. The owner and witness state can be replaced, since no request is
+// served before startup is complete.
 func (node *Node) raiseIncarnation(now time.Time) {
 	earlier := node.table.Earlier()
 	if earlier == 0 || node.startup.done {
@@ -147,11 +147,11 @@
 // tickStartup asks peers for the configuration before the first request is served.
 //
 // The platform may be stale, and a daemon that starts without state does not know of a
-// newer version. A serving peer does: one that answered and whose entries were applied is
-// enough. If all peers that answer are starting too, the platform is the only source. A
-// daemon that gets no answer although peers are listed is partitioned and does not serve,
-// as it might put an old version into force. That it believes these peers dead proves
-// nothing: it would believe so in a partition too.
+// newer version. Serving peers do, so one of them is enough once it has answered and its
+// entries are applied. If all peers that answer are starting too, the platform is the only
+// source. A daemon that gets no answer although peers are listed is partitioned and does
+// not serve, as it might put an old version into force. It must not do so even if it
+// considers these peers dead: it would in a partition too.
 func (node *Node) tickStartup(now time.Time) {
 	if node.startup.done {
 		return
--- a/core/berylnode/effects.go
+++ b/core/berylnode/effects.go
@@ -11,7 +11,7 @@
 	"berylspoke/core/berylticket"
 )
 
-// Request is one attempt of a caller's request at this entry daemon.
+// Request is one submission of a caller's request to this entry daemon.
 type Request struct {
 	Service berylspoke.ServiceID
 	berylshare.Waiting
--- a/core/berylnode/ledgers.go
+++ b/core/berylnode/ledgers.go
@@ -33,14 +33,14 @@
 		}
 	}
 	interval := max(node.options.ReportEvery, time.Duration(len(byLedger))*time.Second/reportsPerSecond)
-	for ledger, dues := range byLedger {
+	for ledger, items := range byLedger {
 		if ledger != node.self.VM && now.Sub(node.reportedAt[ledger]) < interval {
 			continue
 		}
 		node.reportedAt[ledger] = now
-		for len(dues) > 0 {
-			batch := dues[:min(len(dues), reportsPerMessage)]
-			dues = dues[len(batch):]
+		for len(items) > 0 {
+			batch := items[:min(len(items), reportsPerMessage)]
+			items = items[len(batch):]
 			reports := berylshare.Reports{From: node.self}
 			for _, item := range batch {
 				reports.Reports = append(reports.Reports, item.service.queue.Report(now, item.service.id, item.organisation))
--- a/core/berylnode/members_test.go
+++ b/core/berylnode/members_test.go
@@ -111,7 +111,7 @@
 		fleet.crash(restarted.ID)
 		fleet.start(restarted)
 		fleet.run(5*time.Second, 50*time.Millisecond)
-		// Each pair reconnects after a delay of its own.
+		// Each pair reconnects after a random delay.
 		healed := fleet.now
 		wait := make(map[[2]berylspoke.VMID]time.Duration)
 		fleet.cut = func(from, to berylspoke.VMID) bool {
@@ -126,8 +126,8 @@
 	}
 }
 
-// A daemon's VM pauses for a minute. When it resumes, all peers seem silent to it although
-// only it was. It must not declare them dead and take over all roles.
+// A daemon's VM pauses for a minute. When it resumes, the daemon has received nothing for
+// that time. It must not declare its peers dead and take over all roles.
 func TestPausedDaemonDeclaresNoPeerDead(t *testing.T) {
 	fleet := memberFleet(8)
 	paused := fleet.vms[2].ID
@@ -155,9 +155,9 @@
 	}
 }
 
-// Guards against a daemon that its peers ignore after the clock of its VM went back
-// between two runs: its heartbeats and slot requests are taken for those of the earlier
-// run.
+// Guards against a daemon that its peers ignore after the clock of its VM stepped back
+// between two runs: its lower incarnation makes its heartbeats and slot requests look
+// older than those of the earlier run.
 func TestDaemonRejoinsAfterClockStepsBack(t *testing.T) {
 	fleet := memberFleet(8)
 	vm := fleet.vms[3]
--- a/core/berylnode/node.go
+++ b/core/berylnode/node.go
@@ -32,8 +32,8 @@
 	holder  *berylslot.Holder
 	lessor  *berylslot.Keeper
 	lessors *berylroute.Keepers
-	// round selects the last of the lessors to ask, which rotates; rotated is the time of
-	// its last change.
+	// round selects the last lessor of the window that this daemon requests slots from;
+	// rotated is when round last changed.
 	round   uint64
 	rotated time.Time
 	// backlogged is the time since which the queue has not been empty, zero if it is empty.
@@ -165,9 +165,9 @@
 // Tick advances all state that depends on time.
 func (node *Node) Tick(now time.Time) {
 	if now.Sub(node.lastTick) > pauseThreshold {
-		// The process or its VM was paused, so every peer seems silent although only
-		// this daemon was. Without this call it would declare the whole fleet dead
-		// and take over all its roles.
+		// The process or its VM was paused and received nothing, so every peer seems
+		// silent. Without this call the daemon would declare the whole fleet dead and
+		// take over all its roles.
 		node.table.Resume(now)
 	}
 	node.lastTick = now
@@ -230,12 +230,12 @@
 		node.send(to, message)
 		return
 	}
-	waiting := node.deferred[to]
-	if waiting == nil {
-		waiting = &deferredSends{since: now}
-		node.deferred[to] = waiting
+	pending := node.deferred[to]
+	if pending == nil {
+		pending = &deferredSends{since: now}
+		node.deferred[to] = pending
 	}
-	waiting.messages = append(waiting.messages, message)
+	pending.messages = append(pending.messages, message)
 }
 
 // flushDeferred sends the deferred messages of peers that get another message now, and
@@ -247,17 +247,17 @@
 	for _, send := range node.effects.Sends {
 		node.flushDeferredTo(send.To)
 	}
-	for to, waiting := range node.deferred {
-		if now.Sub(waiting.since) >= maxDeferral {
+	for to, pending := range node.deferred {
+		if now.Sub(pending.since) >= maxDeferral {
 			node.flushDeferredTo(to)
 		}
 	}
 }
 
 func (node *Node) flushDeferredTo(to berylspoke.VMID) {
-	if waiting := node.deferred[to]; waiting != nil {
+	if pending := node.deferred[to]; pending != nil {
 		delete(node.deferred, to)
-		for _, message := range waiting.messages {
+		for _, message := range pending.messages {
 			node.send(to, message)
 		}
 	}
--- a/core/berylnode/orders.go
+++ b/core/berylnode/orders.go
@@ -19,8 +19,8 @@
 
 // Compare orders an engine into its declared state if it reports a different one. The
 // fencing number is the configuration version, so that a repeated order is harmless and
-// engines that check the number refuse an old order. Other engines may still accept a late
-// order from a lessor that was paused; they report the state they hold, and the next
+// engines that check the number reject an old order. Other engines may still accept a late
+// order from a lessor that was paused; they report the resulting state, and the next
 // comparison corrects it.
 func (node *Node) Compare(now time.Time, id berylspoke.TargetID, held berylspoke.Order) {
 	target, declared := node.Declarations().Targets[id]
--- a/core/berylnode/placement.go
+++ b/core/berylnode/placement.go
@@ -107,8 +107,9 @@
 	}
 }
 
-// lessorsToAsk returns the lessors that this entry daemon requests slots from now: a few
-// in its own region, and some in other regions while requests may go there.
+// lessorsToAsk returns the lessors that this entry daemon requests slots from now: up to
+// MaxLessors in its region, and up to maxRemoteLessors in others while requests may go
+// there.
 func (node *Node) lessorsToAsk(now time.Time, service *service) berylslot.Asked {
 	if now.Sub(service.rotated) > rotationInterval {
 		service.rotated = now
@@ -116,8 +117,9 @@
 	}
 	asked := berylslot.Asked{
 		Local: berylroute.Window(service.lessors.Local, node.options.MaxLessors, service.round),
-		// Newcomers are reported with a tag lower by the slack. This alone must not
-		// send them over the link between regions, which is paid by volume.
+		// The first request of an organisation with nothing running is reported with a
+		// tag lower by the slack. This alone must not send it to another region, since
+		// traffic between regions is paid by volume.
 		Margin: node.options.CrossMargin + node.options.Keeper.Slack,
 	}
 	if len(service.lessors.Local) == 0 {
@@ -132,7 +134,7 @@
 const (
 	// rotationInterval is the time between two changes of the last lessor of the window.
 	rotationInterval = 10 * time.Second
-	// maxRemoteLessors bounds the lessors in other regions that are asked for slots.
+	// maxRemoteLessors bounds the lessors in other regions that get demands.
 	maxRemoteLessors = 2
 )
 
--- a/core/berylnode/requests.go
+++ b/core/berylnode/requests.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	// overloadRetryAfter is the retry delay told to a caller refused for overload.
+	// overloadRetryAfter is the retry delay sent to a caller that is refused for overload.
 	overloadRetryAfter = 2 * time.Second
-	// startingRetryAfter is the retry delay told to a caller of a starting or draining
+	// startingRetryAfter is the retry delay sent to a caller of a starting or draining
 	// daemon.
 	startingRetryAfter = time.Second
 )
@@ -124,8 +124,8 @@
 	tag, _ := service.queue.Head()
 	var usable []berylslot.Place
 	for _, place := range service.holder.Free(now, tag) {
-		// A leaving target has no lessor any more. Slots leased before it was declared
-		// leaving must not be used.
+		// A draining target has no lessor. Slots leased before it was declared leaving
+		// must not be used.
 		if service.lessors.Of[place.Target] == "" || !node.health.Usable(now, place.Target) {
 			continue
 		}
@@ -152,8 +152,8 @@
 	return []berylslot.Place{{Target: usable[node.random.IntN(len(usable))]}}
 }
 
-// choosePlace prefers the target that holds the request's prompt prefix, then targets in
-// its own region, then the target with the most idle slots.
+// choosePlace prefers the target that last received the request's prompt prefix, then
+// targets in this daemon's region, then the target with the most idle slots.
 func (node *Node) choosePlace(places []berylslot.Place, prefix uint64) berylslot.Place {
 	if target := node.prefixes.Target(prefix); target != "" {
 		for _, place := range places {
