--- a/cmd/berylspoke/config_test.go
+++ b/cmd/berylspoke/config_test.go
@@ -195,7 +195,7 @@
 				var failure *berylcall.Failure
 				require.ErrorAs(t, err, &failure)
 				require.Equal(t, berylspoke.NotRun, failure.Verdict)
-				require.Equal(t, berylspoke.ReasonOrganisation, failure.Reason)
+				require.Equal(t, berylspoke.ReasonOrganisationLimit, failure.Reason)
 				require.Positive(t, failure.RetryAfter)
 				refused++
 			default:
@@ -327,7 +327,7 @@
 	require.Equal(t, 1, code)
 	require.Contains(t, output, "unknown flag -setings, did you mean -settings?")
 
-	desired := berylconfig.Empty().Declarations
+	desired := berylconfig.InitialState().Declarations
 	desired = fleet.Plan.Patch().Apply(desired)
 	delete(desired.Organisations, "small-13")
 	body, err := json.Marshal(desired)
--- a/core/berylnode/dump.go
+++ b/core/berylnode/dump.go
@@ -22,7 +22,7 @@
 	Incarnation   string                   `json:"incarnation"`
 	Status        string                   `json:"status"`
 	Leaving       bool                     `json:"leaving"`
-	Number        berylspoke.EntryNumber   `json:"number"`
+	Number        berylspoke.PatchNumber   `json:"number"`
 }
 
 // ServiceState is the state of a service at this daemon.
@@ -32,9 +32,9 @@
 	Backlogged    int                                     `json:"backlogged"`
 	VirtualTime   berylspoke.Tag                          `json:"virtualTime"`
 	Organisations []berylshare.OrganisationState          `json:"organisations"`
-	SlotUses      berylslot.Uses                          `json:"slotUses"`
-	Held          []berylslot.HeldSlot                    `json:"held"`
-	LeasedTargets []berylslot.Slot                        `json:"kept"`
+	SlotUses      berylslot.UseCounts                     `json:"slotUses"`
+	Held          []berylslot.HeldSlots                   `json:"held"`
+	LeasedTargets []berylslot.TargetSlots                 `json:"kept"`
 	Lessors       map[berylspoke.TargetID]berylspoke.VMID `json:"keepers"`
 }
 
@@ -45,7 +45,7 @@
 	Time                time.Time                `json:"time"`
 	Ready               bool                     `json:"ready"`
 	Draining            bool                     `json:"draining"`
-	Number              berylspoke.EntryNumber   `json:"number"`
+	Number              berylspoke.PatchNumber   `json:"number"`
 	Version             berylspoke.ConfigVersion `json:"version"`
 	Hash                string                   `json:"hash"`
 	Conflicts           int                      `json:"conflicts"`
@@ -70,12 +70,12 @@
 		LedgerOrganisations: node.ledger.Len(), OwnerRecords: node.owner.Len(), WitnessedIDs: node.witness.Len(),
 		Waiting: len(node.waiting), Running: len(node.running),
 	}
-	for _, member := range node.table.All() {
+	for _, member := range node.table.Members() {
 		dump.Members = append(dump.Members, MemberState{
 			VM: member.VM.ID, FailureDomain: member.VM.FailureDomain,
 			Incarnation: member.Rumour.Process.Incarnation.String(),
 			Status:      member.Rumour.Status.String(), Leaving: member.Rumour.Leaving || member.VM.Leaving,
-			Number: member.Number,
+			Number: member.ConfigNumber,
 		})
 	}
 	for _, service := range node.services {
--- a/core/berylnode/effects.go
+++ b/core/berylnode/effects.go
@@ -14,7 +14,7 @@
 // Request is one submission of a caller's request to this entry daemon.
 type Request struct {
 	Service berylspoke.ServiceID
-	berylshare.Waiting
+	berylshare.QueuedRequest
 	// Call is the ID of a non-idempotent request, nil for an idempotent one.
 	Call *berylticket.CallID
 }
@@ -40,13 +40,13 @@
 // Settled tells io the outcome of an ID that it asked about with Settle.
 type Settled struct {
 	Token    uint64
-	Standing berylticket.Standing
+	Standing berylticket.Status
 }
 
 // Order tells io to send an order to an engine.
 type Order struct {
 	Target berylspoke.TargetID
-	Order  berylspoke.Order
+	Order  berylspoke.EngineOrder
 }
 
 // Effects are the actions that io carries out after an input.
@@ -66,7 +66,7 @@
 	Incarnation berylspoke.Incarnation
 	Policy      berylshare.Policy
 	Queue       berylshare.Options
-	Keeper      berylslot.KeeperOptions
+	Lessor      berylslot.LessorOptions
 	// Quantum is the change in an organisation's charge that makes a report to its
 	// ledger due.
 	Quantum berylspoke.Tokens
@@ -78,8 +78,8 @@
 	// CrossMargin is how much lower the tag of such a request must be than the tags of
 	// the requests that wait there.
 	CrossMargin berylspoke.Tag
-	// CrossBytes is the budget for traffic between regions, in bytes per second.
-	CrossBytes float64
+	// CrossBytesPerSecond is the budget for traffic between regions, in bytes per second.
+	CrossBytesPerSecond float64
 	// MaxLessors bounds the lessors of its own region that an entry daemon requests slots
 	// from, for each service.
 	MaxLessors int
@@ -104,16 +104,16 @@
 			MaxWaiting:         20_000,
 			MaxPerOrganisation: 2_000,
 		},
-		Keeper:            berylslot.DefaultKeeperOptions(),
-		Quantum:           100,
-		ReportEvery:       time.Second,
-		CrossAfter:        300 * time.Millisecond,
-		CrossMargin:       300 * berylspoke.TagScale,
-		CrossBytes:        400_000,
-		MaxLessors:        8,
-		PermitTimeout:     time.Second,
-		SettleTimeout:     time.Second,
-		MaxRecords:        32_768,
-		RetriesPerRequest: 0.1,
+		Lessor:              berylslot.DefaultLessorOptions(),
+		Quantum:             100,
+		ReportEvery:         time.Second,
+		CrossAfter:          300 * time.Millisecond,
+		CrossMargin:         300 * berylspoke.TagScale,
+		CrossBytesPerSecond: 400_000,
+		MaxLessors:          8,
+		PermitTimeout:       time.Second,
+		SettleTimeout:       time.Second,
+		MaxRecords:          32_768,
+		RetriesPerRequest:   0.1,
 	}
 }
--- a/core/berylnode/fleet_test.go
+++ b/core/berylnode/fleet_test.go
@@ -64,7 +64,7 @@
 	capacity, used float64
 	executions     map[berylticket.CallID]int
 	refused        map[berylspoke.RequestID]*berylspoke.Refusal
-	settled        map[uint64]berylticket.Standing
+	settled        map[uint64]berylticket.Status
 	orgOf          map[berylspoke.RequestID]berylspoke.OrganisationID
 	callOf         map[berylspoke.RequestID]*berylticket.CallID
 }
@@ -80,7 +80,7 @@
 		service:    make(map[berylspoke.OrganisationID]berylspoke.Tokens),
 		executions: make(map[berylticket.CallID]int),
 		refused:    make(map[berylspoke.RequestID]*berylspoke.Refusal),
-		settled:    make(map[uint64]berylticket.Standing),
+		settled:    make(map[uint64]berylticket.Status),
 		orgOf:      make(map[berylspoke.RequestID]berylspoke.OrganisationID),
 		callOf:     make(map[berylspoke.RequestID]*berylticket.CallID),
 	}
@@ -101,7 +101,7 @@
 }
 
 func (fleet *fakeFleet) publishBody(body []byte) {
-	number := berylspoke.EntryNumber(len(fleet.patches) + 1)
+	number := berylspoke.PatchNumber(len(fleet.patches) + 1)
 	fleet.patches = append(fleet.patches, berylspoke.Published{Number: number, Body: body})
 	fleet.visiblePatches = len(fleet.patches)
 }
@@ -144,7 +144,7 @@
 		if node == nil || fleet.frozen[vm.ID] {
 			continue
 		}
-		if fleet.platformUp && node.Watches(fleet.now) && fleet.random.IntN(10) == 0 {
+		if fleet.platformUp && node.WatchesPlatform(fleet.now) && fleet.random.IntN(10) == 0 {
 			after := int(node.Config().Number)
 			if after < fleet.visiblePatches {
 				node.AddPatches(fleet.now, fleet.patches[after:fleet.visiblePatches])
@@ -184,7 +184,7 @@
 }
 
 func (fleet *fakeFleet) applyEffects(vm berylspoke.VMID, node *Node) {
-	effects := node.Take()
+	effects := node.TakeEffects()
 	peers := make(map[berylspoke.VMID]bool)
 	for _, send := range effects.Sends {
 		fleet.transmit(vm, send)
@@ -305,8 +305,8 @@
 		if fleet.frozen[vm] {
 			continue
 		}
-		for _, target := range node.Kept() {
-			node.Load(fleet.now, target, berylspoke.LoadReport{
+		for _, target := range node.LeasedTargets() {
+			node.HandleLoadReport(fleet.now, target, berylspoke.LoadReport{
 				Running: fleet.runningAt(target), Waiting: len(fleet.queued[target]),
 			})
 		}
@@ -317,7 +317,7 @@
 func (fleet *fakeFleet) submit(vm berylspoke.VMID, service berylspoke.ServiceID, org berylspoke.OrganisationID, id berylspoke.RequestID, cost berylspoke.Tokens, call *berylticket.CallID) {
 	fleet.costs[id], fleet.orgOf[id], fleet.callOf[id] = cost, org, call
 	node := fleet.nodes[vm]
-	node.Submit(fleet.now, Request{Service: service, Call: call, Waiting: berylshare.Waiting{
+	node.Submit(fleet.now, Request{Service: service, Call: call, QueuedRequest: berylshare.QueuedRequest{
 		Request: id, Organisation: org, Arrived: fleet.now, Deadline: fleet.now.Add(time.Hour),
 	}})
 	fleet.applyEffects(vm, node)
--- a/core/berylnode/orders.go
+++ b/core/berylnode/orders.go
@@ -17,12 +17,12 @@
 	sent  time.Time
 }
 
-// Compare orders an engine into its declared state if it reports a different one. The
-// fencing number is the configuration version, so that a repeated order is harmless and
-// engines that check the number reject an old order. Other engines may still accept a late
-// order from a lessor that was paused; they report the resulting state, and the next
+// ReconcileEngine orders an engine into its declared state if it reports a different one.
+// The fencing number is the configuration version, so that a repeated order is harmless
+// and engines that check the number reject an old order. Other engines may still accept a
+// late order from a lessor that was paused; they report the resulting state, and the next
 // comparison corrects it.
-func (node *Node) Compare(now time.Time, id berylspoke.TargetID, held berylspoke.Order) {
+func (node *Node) ReconcileEngine(now time.Time, id berylspoke.TargetID, held berylspoke.EngineOrder) {
 	target, declared := node.Declarations().Targets[id]
 	if !declared || target.Model == "" || !node.Ready() {
 		return
@@ -36,7 +36,7 @@
 		return
 	}
 	node.lastOrders[id] = orderState{version, now}
-	node.effects.Orders = append(node.effects.Orders, Order{id, berylspoke.Order{
+	node.effects.Orders = append(node.effects.Orders, Order{id, berylspoke.EngineOrder{
 		Fence: version, Model: target.Model, Version: target.Version,
 		Adapters: target.Adapters, Role: target.Role,
 	}})
--- a/io/beryledge/members.go
+++ b/io/beryledge/members.go
@@ -40,7 +40,7 @@
 func (core *core) livePeers() []berylspoke.VMID {
 	var peers []berylspoke.VMID
 	for _, vm := range core.table.Live() {
-		if vm != core.daemon.settings.VM && core.table.Known(vm) != 0 {
+		if vm != core.daemon.settings.VM && core.table.Incarnation(vm) != 0 {
 			peers = append(peers, vm)
 		}
 	}
@@ -55,11 +55,11 @@
 	}
 	core.daemon.entries.Store(fresh)
 	if core.daemon.transport != nil {
-		core.daemon.transport.Relink()
+		core.daemon.transport.UpdateLinks()
 	}
 	for _, feed := range core.feeds {
 		// If all watchers are cut off, the others read the store after this time.
-		feed.SetPatience(core.daemon.contactAgeLimit() + firstAnswerDelay)
+		feed.SetOutageThreshold(core.daemon.contactAgeLimit() + firstAnswerDelay)
 	}
 	live := len(core.table.Live())
 	core.gate.SetDaemons(now, live)
