--- a/core/berylnode/node.go
+++ b/core/berylnode/node.go
@@ -75,7 +75,7 @@
 	totalWeight        float64
 	lastTick           time.Time
 	lastSweep          time.Time
-	closed             bool
+	notAccepting       bool
 	pulledAt           time.Time
 	inbox              []berylspoke.Message
 	deferred           map[berylspoke.VMID]*deferredSends
@@ -150,7 +150,7 @@
 func (node *Node) Draining() bool { return node.table.Member(node.self.VM).Rumour.Leaving }
 
 // StopAccepting makes the node refuse new requests; waiting and running requests continue.
-func (node *Node) StopAccepting() { node.closed = true }
+func (node *Node) StopAccepting() { node.notAccepting = true }
 
 // ActiveRequests returns the number of waiting and running requests.
 func (node *Node) ActiveRequests() int { return len(node.waiting) + len(node.running) }
--- a/core/berylnode/requests.go
+++ b/core/berylnode/requests.go
@@ -29,7 +29,7 @@
 	case !node.Ready():
 		node.refuse(now, request.Request, berylspoke.ReasonStarting, startingRetryAfter)
 		return
-	case node.closed:
+	case node.notAccepting:
 		node.refuse(now, request.Request, berylspoke.ReasonDraining, startingRetryAfter)
 		return
 	case service == nil || !known:
--- a/core/berylslot/holder.go
+++ b/core/berylslot/holder.go
@@ -327,7 +327,7 @@
 }
 
 // Demands returns the demands to send now. Lessors that are not listed get a demand of
-// zero, and no further ones.
+// zero, which is renewed only while requests run on their targets.
 func (holder *Holder) Demands(now time.Time, lessors Lessors, state QueueState) []AddressedDemand {
 	listed := make(map[berylspoke.VMID]bool, len(lessors.Local)+len(lessors.Remote))
 	for _, vm := range lessors.Local {
