--- a/core/berylslot/dump.go
+++ b/core/berylslot/dump.go
@@ -64,8 +64,8 @@
 func (holder *Holder) Held() []HeldSlots {
 	var list []HeldSlots
 	for vm, view := range holder.lessors {
-		for target, held := range view.targets {
-			list = append(list, HeldSlots{vm, target, held.held, held.used})
+		for target, slots := range view.targets {
+			list = append(list, HeldSlots{vm, target, slots.held, slots.used})
 		}
 	}
 	sort.Slice(list, func(i, j int) bool {
--- a/core/berylslot/holder.go
+++ b/core/berylslot/holder.go
@@ -123,20 +123,20 @@
 	granted := make(map[berylspoke.TargetID]bool, len(lease.Grants))
 	for _, grant := range lease.Grants {
 		granted[grant.Target] = true
-		held := view.targets[grant.Target]
-		if held == nil {
-			held = new(holding)
-			view.targets[grant.Target] = held
+		slots := view.targets[grant.Target]
+		if slots == nil {
+			slots = new(holding)
+			view.targets[grant.Target] = slots
 		}
-		if grant.Slots < held.held {
+		if grant.Slots < slots.held {
 			// The lessor grants a recalled slot to others only after this confirmation.
 			view.dirty = true
 		}
-		held.held = max(grant.Slots, held.used)
+		slots.held = max(grant.Slots, slots.used)
 	}
-	for target, held := range view.targets {
+	for target, slots := range view.targets {
 		if !granted[target] {
-			held.held = held.used
+			slots.held = slots.used
 		}
 	}
 }
@@ -165,9 +165,9 @@
 		if now.After(view.validUntil) || !view.admits(tag) {
 			continue
 		}
-		for target, held := range view.targets {
-			if held.held > held.used {
-				candidates = append(candidates, candidate{Placement{vm, target}, held.held - held.used})
+		for target, slots := range view.targets {
+			if slots.held > slots.used {
+				candidates = append(candidates, candidate{Placement{vm, target}, slots.held - slots.used})
 			}
 		}
 	}
@@ -201,16 +201,16 @@
 // it is returned at once.
 func (holder *Holder) Finish(now time.Time, placement Placement, next berylspoke.Tag, waiting bool) {
 	holder.lastActive = now
-	view, held := holder.find(placement)
-	if held == nil {
+	view, slots := holder.find(placement)
+	if slots == nil {
 		return
 	}
-	held.used--
-	if held.held <= held.used {
+	slots.used--
+	if slots.held <= slots.used {
 		return
 	}
 	if now.After(view.validUntil) || view.contended && !(waiting && view.admits(next)) {
-		held.held = held.used
+		slots.held = slots.used
 		view.dirty = true
 		holder.uses.Returned++
 		return
@@ -225,8 +225,8 @@
 		return view, view.targets[placement.Target]
 	}
 	for _, view := range holder.lessors {
-		if held := view.targets[placement.Target]; held != nil {
-			return view, held
+		if slots := view.targets[placement.Target]; slots != nil {
+			return view, slots
 		}
 	}
 	return nil, nil
@@ -236,35 +236,35 @@
 // that took the target over starts empty and would otherwise lease those slots again.
 func (holder *Holder) ReassignTarget(target berylspoke.TargetID, to berylspoke.VMID) {
 	for vm, view := range holder.lessors {
-		held := view.targets[target]
-		if vm == to || held == nil {
+		slots := view.targets[target]
+		if vm == to || slots == nil {
 			continue
 		}
 		delete(view.targets, target)
 		view.dirty = true
-		if held.used == 0 || to == "" {
+		if slots.used == 0 || to == "" {
 			continue
 		}
 		successor := holder.lessor(to)
 		if existing := successor.targets[target]; existing != nil {
-			held.used += existing.used
+			slots.used += existing.used
 		}
-		held.held = held.used
-		successor.targets[target] = held
+		slots.held = slots.used
+		successor.targets[target] = slots
 		successor.dirty = true
 	}
 }
 
 // RecordTokenInterval averages a time between tokens measured on a target.
 func (holder *Holder) RecordTokenInterval(placement Placement, interval time.Duration) {
-	_, held := holder.find(placement)
-	if held == nil || interval <= 0 {
+	_, slots := holder.find(placement)
+	if slots == nil || interval <= 0 {
 		return
 	}
-	if held.tokenInterval == 0 {
-		held.tokenInterval = interval
+	if slots.tokenInterval == 0 {
+		slots.tokenInterval = interval
 	}
-	held.tokenInterval += (interval - held.tokenInterval) / 8
+	slots.tokenInterval += (interval - slots.tokenInterval) / 8
 }
 
 // Release returns the idle slots of contended lessors that no request here may use; the
@@ -274,10 +274,10 @@
 		if !view.contended || waiting && view.admits(next) {
 			continue
 		}
-		for _, held := range view.targets {
-			if held.held > held.used {
-				holder.uses.Unused += uint64(held.held - held.used)
-				held.held = held.used
+		for _, slots := range view.targets {
+			if slots.held > slots.used {
+				holder.uses.Unused += uint64(slots.held - slots.used)
+				slots.held = slots.used
 				view.dirty = true
 			}
 		}
@@ -369,9 +369,9 @@
 	if view.reportedWaiting > 0 {
 		view.dirty = true
 	}
-	for _, held := range view.targets {
-		if held.held > held.used {
-			held.held = held.used
+	for _, slots := range view.targets {
+		if slots.held > slots.used {
+			slots.held = slots.used
 			view.dirty = true
 		}
 	}
@@ -396,16 +396,16 @@
 
 func (view *lessorView) used() int {
 	used := 0
-	for _, held := range view.targets {
-		used += held.used
+	for _, slots := range view.targets {
+		used += slots.used
 	}
 	return used
 }
 
 func (view *lessorView) idle() int {
 	idle := 0
-	for _, held := range view.targets {
-		idle += held.held - held.used
+	for _, slots := range view.targets {
+		idle += slots.held - slots.used
 	}
 	return idle
 }
@@ -446,12 +446,12 @@
 	if len(demand.Tags) > 0 {
 		view.reportedHead = demand.Tags[0]
 	}
-	for target, held := range view.targets {
-		if held.held == 0 && held.used == 0 {
+	for target, slots := range view.targets {
+		if slots.held == 0 && slots.used == 0 {
 			delete(view.targets, target)
 			continue
 		}
-		demand.Holdings = append(demand.Holdings, Holding{target, held.held, held.used, held.tokenInterval})
+		demand.Holdings = append(demand.Holdings, Holding{target, slots.held, slots.used, slots.tokenInterval})
 	}
 	sort.Slice(demand.Holdings, func(i, j int) bool { return demand.Holdings[i].Target < demand.Holdings[j].Target })
 	return demand
--- a/core/berylslot/lessor.go
+++ b/core/berylslot/lessor.go
@@ -232,10 +232,10 @@
 		}
 		reported[holding.Target] = true
 		limiter.RecordTokenInterval(holding.TokenInterval)
-		held := holder.slotsOn(holding.Target)
-		held.held, held.used = holding.Held, holding.Used
+		slots := holder.slotsOn(holding.Target)
+		slots.held, slots.used = holding.Held, holding.Used
 		if confirmed {
-			held.granted, held.peak = holding.Held, holding.Held
+			slots.granted, slots.peak = holding.Held, holding.Held
 		}
 	}
 	for target, slots := range holder.targets {
--- a/core/berylticket/witness.go
+++ b/core/berylticket/witness.go
@@ -113,7 +113,7 @@
 // The owner may be frozen rather than gone, and could resume and request a permit. All
 // its serials are then below the watermark, so its request is denied.
 func (witness *Witness) Forget(owner berylspoke.Process) {
-	if held := witness.owners[owner]; held != nil {
-		*held = ownerMarks{watermark: ^uint64(0)}
+	if marks := witness.owners[owner]; marks != nil {
+		*marks = ownerMarks{watermark: ^uint64(0)}
 	}
 }
