--- a/core/berylnode/calls.go
+++ b/core/berylnode/calls.go
@@ -19,14 +19,14 @@
 	since, sent time.Time
 }
 
-// pendingSettlement is an ID whose outcome this daemon is finding out.
+// pendingSettlement is an id whose outcome this daemon is finding out.
 type pendingSettlement struct {
 	id          berylticket.CallID
 	since, sent time.Time
 	atWitness   bool
 }
 
-// BeginCall returns the owner's record of an ID and whether the call created it. A nil
+// BeginCall returns the owner's record of an id and whether the call created it. A nil
 // record means that the outcome is forgotten.
 func (node *Node) BeginCall(now time.Time, id berylticket.CallID) (*berylticket.Record, bool) {
 	return node.owner.Register(now, id)
@@ -75,7 +75,7 @@
 }
 
 // tickPermits resends unanswered permit requests and gives up on a witness that does not
-// answer. The owner first records the ID as not run, so a permit that arrives later finds
+// answer. The owner first records the id as not run, so a permit that arrives later finds
 // it finished and dispatches nothing.
 func (node *Node) tickPermits(now time.Time) {
 	for id, pending := range node.pendingPermits {
@@ -92,7 +92,7 @@
 	}
 }
 
-// Settle finds out the outcome of an ID, which arrives as a Settled effect with the token.
+// Settle finds out the outcome of an id, which arrives as a Settled effect with the token.
 func (node *Node) Settle(now time.Time, token uint64, id berylticket.CallID) {
 	if node.owner.Owns(id) {
 		node.completeSettlement(token, node.owner.Settle(now, id))
--- a/core/berylnode/calls_test.go
+++ b/core/berylnode/calls_test.go
@@ -28,7 +28,7 @@
 	return fleet
 }
 
-// testCall is an ID under test with the requests and settlements made for it.
+// testCall is an id under test with the requests and settlements made for it.
 type testCall struct {
 	id       berylticket.CallID
 	requests []berylspoke.RequestID
@@ -55,8 +55,8 @@
 	return sim.calls[rapid.IntRange(0, len(sim.calls)-1).Draw(t, "call")]
 }
 
-// submitCall submits an ID at a daemon, as a caller's first attempt or retry does. A
-// daemon that does not own the ID settles it.
+// submitCall submits an id at a daemon, as a caller does at first and in each retry. A
+// daemon that does not own the id settles it.
 func (sim *callSimulation) submitCall(vm berylspoke.VMID, call *testCall) {
 	node := sim.nodes[vm]
 	if call == nil || node == nil || sim.frozen[vm] || !node.Ready() {
@@ -85,7 +85,7 @@
 	sim.applyEffects(vm, node)
 }
 
-// reportedNotRun reports whether any answer said that the ID did not run.
+// reportedNotRun reports whether any answer said that the id did not run.
 func (sim *callSimulation) reportedNotRun(call *testCall) bool {
 	for _, token := range call.tokens {
 		if sim.settled[token] == berylticket.StatusNotRun {
@@ -176,7 +176,7 @@
 	})
 }
 
-// The owner obtains a permit and freezes. Another daemon that settles the ID must report
+// The owner obtains a permit and freezes. Another daemon that settles the id must report
 // "may have run", since the owner may have dispatched it or may do so when it resumes.
 func TestFrozenOwnerWithPermit(t *testing.T) {
 	sim := &callSimulation{fakeFleet: plainServiceFleet(3)}
@@ -193,8 +193,8 @@
 }
 
 // The owner freezes before its permit request reaches the witness. Another daemon settles
-// the ID as "not run", so the caller may submit a new one. When the owner resumes it must
-// not run the old ID.
+// the id as "not run", so the caller may submit a new one. When the owner resumes it must
+// not run the old id.
 func TestFrozenOwnerWithoutPermit(t *testing.T) {
 	sim := &callSimulation{fakeFleet: plainServiceFleet(4)}
 	owner := sim.vms[0].ID
--- a/core/berylnode/effects.go
+++ b/core/berylnode/effects.go
@@ -15,7 +15,7 @@
 type Request struct {
 	Service berylspoke.ServiceID
 	berylshare.QueuedRequest
-	// Call is the ID of a non-idempotent request, nil for an idempotent one.
+	// Call is the id of a non-idempotent request, nil for an idempotent one.
 	Call *berylticket.CallID
 }
 
@@ -37,7 +37,7 @@
 	Refusal *berylspoke.Refusal
 }
 
-// Settled tells io the outcome of an ID that it asked about with Settle.
+// Settled tells io the outcome of an id that it asked about with Settle.
 type Settled struct {
 	Token    uint64
 	Standing berylticket.Status
@@ -88,7 +88,7 @@
 	// SettleTimeout is the time that a settling daemon waits for the owner and then for
 	// the witness.
 	SettleTimeout time.Duration
-	// MaxRecords bounds the IDs remembered as owner and, for each owner, as witness.
+	// MaxRecords bounds the ids remembered as owner and, for each owner, as witness.
 	MaxRecords int
 	// RetriesPerRequest is the number of retries that each request adds to the budget.
 	RetriesPerRequest float64
--- a/core/berylnode/requests.go
+++ b/core/berylnode/requests.go
@@ -20,7 +20,7 @@
 	startingRetryAfter = time.Second
 )
 
-// Submit queues a request. A Start or Refuse effect with its ID follows.
+// Submit queues a request. A Start or Refuse effect with its id follows.
 func (node *Node) Submit(now time.Time, request Request) {
 	node.waiting[request.Request] = &request
 	organisation, known := node.Declarations().Organisations[request.Organisation]
--- a/core/berylshare/account.go
+++ b/core/berylshare/account.go
@@ -71,7 +71,7 @@
 	account.clamp = min(account.clamp, ceiling-account.fleetTag())
 }
 
-// accountHeap is a heap of the backlogged accounts, ordered by tag and then by ID.
+// accountHeap is a heap of the backlogged accounts, ordered by tag and then by id.
 type accountHeap []*account
 
 var _ heap.Interface = (*accountHeap)(nil)
--- a/core/berylshare/report.go
+++ b/core/berylshare/report.go
@@ -121,7 +121,7 @@
 	Tag          berylspoke.Tag            `json:"tag"`
 }
 
-// Organisations returns the state of each organisation that has an account, sorted by ID.
+// Organisations returns the state of each organisation that has an account, sorted by id.
 func (queue *Queue) Organisations() []OrganisationState {
 	var states []OrganisationState
 	for id, account := range queue.accounts {
