--- a/core/berylnode/requests.go
+++ b/core/berylnode/requests.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	// overloadRetryAfter is the retry delay told to a caller refused for overload.
+	// overloadRetryAfter is the retry delay sent to a caller that is refused for overload.
 	overloadRetryAfter = 2 * time.Second
-	// startingRetryAfter is the retry delay told to a caller of a starting or draining
+	// startingRetryAfter is the retry delay sent to a caller of a starting or draining
 	// daemon.
 	startingRetryAfter = time.Second
 )
 
-// Submit queues a request. A Start or Refuse effect with its ID follows.
+// Submit queues a request. A Start or Refuse effect with its id follows.
 func (node *Node) Submit(now time.Time, request Request) {
 	node.waiting[request.Request] = &request
 	organisation, known := node.Declarations().Organisations[request.Organisation]
@@ -29,7 +29,7 @@
 	case !node.Ready():
 		node.refuse(now, request.Request, berylspoke.ReasonStarting, startingRetryAfter)
 		return
-	case node.closed:
+	case node.notAccepting:
 		node.refuse(now, request.Request, berylspoke.ReasonDraining, startingRetryAfter)
 		return
 	case service == nil || !known:
@@ -124,8 +124,8 @@
 	tag, _ := service.queue.Head()
 	var usable []berylslot.Placement
 	for _, placement := range service.holder.Free(now, tag) {
-		// A draining target has no lessor any more. Slots leased before it was declared
-		// draining must not be used.
+		// A draining target has no lessor. Slots leased before it was declared draining
+		// must not be used.
 		if service.lessors.Of[placement.Target] == "" || !node.health.Usable(now, placement.Target) {
 			continue
 		}
@@ -152,8 +152,8 @@
 	return []berylslot.Placement{{Target: usable[node.random.IntN(len(usable))]}}
 }
 
-// choosePlacement prefers the target that holds the request's prompt prefix, then targets
-// in its own region, then the target with the most idle slots.
+// choosePlacement prefers the target that last received the request's prompt prefix, then
+// targets in this daemon's region, then the target with the most idle slots.
 func (node *Node) choosePlacement(placements []berylslot.Placement, prefix uint64) berylslot.Placement {
 	if target := node.prefixes.Target(prefix); target != "" {
 		for _, placement := range placements {
--- a/core/berylslot/lessor.go
+++ b/core/berylslot/lessor.go
@@ -94,7 +94,7 @@
 	virtualTime berylspoke.Tag
 	takenOver   time.Time
 	rotation    int
-	// lastUnmet is when a request last waited for lack of a slot.
+	// lastUnmet is when a waiting request last got no slot.
 	lastUnmet time.Time
 	// sequence numbers the leases to all entry daemons. If a number were used twice for
 	// an entry daemon that was removed and came back, a late old lease could make it
@@ -210,9 +210,9 @@
 	return raised
 }
 
-// advanceTime advances the virtual time; a lessor that starts empty adopts the entry
-// daemons' time, or organisations with a new backlog would take precedence over all
-// others for long.
+// advanceTime advances the virtual time. A lessor that starts empty adopts the time of the
+// first entry daemon that reports one; otherwise organisations with a new backlog would
+// take precedence over all others for a long time.
 func (lessor *Lessor) advanceTime(demand Demand) {
 	if lessor.virtualTime == 0 {
 		lessor.virtualTime = demand.VirtualTime
@@ -232,10 +232,10 @@
 		}
 		reported[holding.Target] = true
 		limiter.RecordTokenInterval(holding.TokenInterval)
-		held := holder.slotsOn(holding.Target)
-		held.held, held.used = holding.Held, holding.Used
+		slots := holder.slotsOn(holding.Target)
+		slots.held, slots.used = holding.Held, holding.Used
 		if confirmed {
-			held.granted, held.peak = holding.Held, holding.Held
+			slots.granted, slots.peak = holding.Held, holding.Held
 		}
 	}
 	for target, slots := range holder.targets {
