--- a/io/berylpeer/keys.go
+++ b/io/berylpeer/keys.go
@@ -60,8 +60,8 @@
 	return tls.Certificate{Certificate: [][]byte{der}, PrivateKey: private}, nil
 }
 
-// tlsConfig returns the mutual TLS settings of a daemon. The first key signs, and
-// any of the keys is accepted, so that a fleet key can be rotated without downtime.
+// tlsConfig returns the mutual TLS settings of a daemon. The first key signs and all
+// keys are accepted, so that a fleet key can be rotated without downtime.
 func tlsConfig(now time.Time, vm berylspoke.VMID, keys [][]byte) (*tls.Config, error) {
 	if len(keys) == 0 {
 		return nil, errors.New("no fleet key is configured")
--- a/io/berylpeer/peer_test.go
+++ b/io/berylpeer/peer_test.go
@@ -83,8 +83,8 @@
 	require.Len(t, decoded, len(newWireMessage), "sampleMessages lacks a kind of message")
 }
 
-// FuzzDecode decodes truncated and altered packets. Whatever still decodes must
-// encode and decode again to the same message.
+// FuzzDecode decodes truncated and altered packets. Each message that decodes must
+// encode, and decode again to the same message.
 func FuzzDecode(f *testing.F) {
 	for _, message := range sampleMessages() {
 		body, _ := encode(message)
--- a/io/berylpeer/transport.go
+++ b/io/berylpeer/transport.go
@@ -18,7 +18,7 @@
 )
 
 const (
-	// idleTimeout closes connections that carry no messages any more.
+	// idleTimeout is the time without messages after which a connection is closed.
 	idleTimeout = 20 * time.Second
 	// handshakeTimeout bounds the wait for a peer that does not respond.
 	handshakeTimeout = time.Second
@@ -33,9 +33,9 @@
 	maxStreamBytes = 8 << 20
 	// sendQueueLength bounds the packets that wait for the connection to a peer.
 	sendQueueLength = 256
-	// minRedialDelay is the delay after a first failed attempt to reach a peer; it
-	// doubles with each further one, up to maxRedialDelay. An attempt costs several
-	// packets of 1,200 bytes.
+	// minRedialDelay is the delay after the first failed dial of a peer; it doubles with
+	// each further failure, up to maxRedialDelay. A dial costs several packets of 1,200
+	// bytes.
 	minRedialDelay = 250 * time.Millisecond
 	maxRedialDelay = 8 * time.Second
 	// openStreamTimeout bounds the wait to open a stream to a peer.
@@ -80,8 +80,8 @@
 	// silentSince, the last check that found a packet received or none sent.
 	packetsSent, packetsReceived uint64
 	silentSince                  time.Time
-	// wasSilent is set once a connection went silent; from then on each dial uses a
-	// new local port.
+	// wasSilent is set when a connection is closed as silent; from then on each dial
+	// uses a new local port.
 	wasSilent bool
 	// failures counts consecutive failed dials; nextDial is the earliest time of
 	// the next one.
@@ -266,7 +266,7 @@
 		return nil
 	}
 	if name := certifiedVM(conn); name != peer.vm {
-		// The VM was replaced, and its address belongs to another one now.
+		// The VM was replaced, and its address now belongs to another VM.
 		_ = conn.CloseWithError(0, "another VM")
 		return nil
 	}
@@ -372,8 +372,8 @@
 
 // closeSilentLoop closes connections whose flow a middlebox no longer forwards.
 // Sending on such a connection reports no error, while a new connection to the same
-// peer works. QUIC acknowledges what it receives, so the sign of it is that packets
-// are sent for a while and none is received; the next message dials again.
+// peer works. Since QUIC acknowledges received packets, a connection that sends packets
+// for silenceTimeout and receives none counts as broken; the next message dials again.
 func (transport *Transport) closeSilentLoop() {
 	ticker := time.NewTicker(silenceCheckInterval)
 	defer ticker.Stop()
--- a/io/berylpeer/wire.go
+++ b/io/berylpeer/wire.go
@@ -120,8 +120,8 @@
 	Sequence, Applied       uint32
 	Waiting                 int
 	VirtualTime, MaxStarted int64
-	// MaxStarted is a difference to VirtualTime. Tags are differences too, each to the
-	// one before and the first to VirtualTime.
+	// MaxStarted is encoded as the difference from VirtualTime, each of Tags as the
+	// difference from the tag before it, and the first from VirtualTime.
 	Tags     []int64
 	Holdings []wireHolding
 }
@@ -210,7 +210,7 @@
 	Service, Organisation string
 	Generation, Sequence  uint32
 	Weight                int64
-	// Acknowledged and Floor are differences, subtracted from Counter and Base to decode.
+	// Acknowledged is encoded as Counter minus its value, Floor as Base minus its value.
 	Counter, Acknowledged int64
 	Base, Floor           int64
 }
--- a/io/berylpeer/wirefeed.go
+++ b/io/berylpeer/wirefeed.go
@@ -1,7 +1,7 @@
 package berylpeer
 
-// This file defines the encoded forms of the messages about published items, and of
-// the reports on dispatched requests and organisations.
+// This file defines the encoded forms of the messages that carry published items, and
+// of the reports on targets and organisations.
 
 import (
 	"time"
