--- a/io/berylserve/actor.go
+++ b/io/berylserve/actor.go
@@ -66,8 +66,8 @@
 		report berylspoke.LoadReport
 		actual berylspoke.Order
 	}
-	// inspect runs a function on the node, for the dump and for goroutines that need
-	// the state of the node.
+	// inspect runs a function on the node, for the dump and for other goroutines that
+	// need the state of the node.
 	inspect struct {
 		visit func(now time.Time, node *berylnode.Node)
 		done  chan struct{}
@@ -80,8 +80,8 @@
 	refusal *berylspoke.Refusal
 }
 
-// beginReply is the owner's record of an id and whether it was created now. The record
-// is nil if the id was forgotten.
+// beginReply holds the owner's record of an id and whether this request created it. The
+// record is nil if the owner no longer keeps one.
 type beginReply struct {
 	record  *berylticket.Record
 	created bool
@@ -199,7 +199,7 @@
 	}
 }
 
-// decide sends a request its decision. It never blocks: there is one decision a request
+// decide sends a request its decision. It never blocks: there is one decision per request
 // and the channel has room for it.
 func (runner *nodeActor) decide(id berylspoke.RequestID, result decision) {
 	if waiter := runner.decisions[id]; waiter != nil {
--- a/io/berylserve/attempt.go
+++ b/io/berylserve/attempt.go
@@ -15,15 +15,15 @@
 	"berylspoke/io/berylsettings"
 )
 
-// attempt is one run of a request through the queue to a target.
+// attempt is one pass of a request through the queue to a target.
 type attempt struct {
 	daemon    *Daemon
 	request   berylnode.Request
 	decisions chan decision
 }
 
-// newAttempt returns an attempt with an id of its own. Targets echo the id, so that a
-// late answer to an earlier attempt is not mistaken for an answer to this one.
+// newAttempt returns an attempt with a new id. Targets echo the id, so that a late answer
+// to an earlier attempt is not mistaken for an answer to this one.
 func (daemon *Daemon) newAttempt(from caller, service berylspoke.ServiceID, hint berylspoke.Tokens, prompt string, call *berylticket.CallID) *attempt {
 	now := time.Now()
 	id := berylspoke.RequestID(fmt.Sprintf("%s/%s/%d", from.organisation, daemon.process().Incarnation, daemon.requestSequence.Add(1)))
--- a/io/berylserve/callers.go
+++ b/io/berylserve/callers.go
@@ -99,7 +99,7 @@
 			return
 		}
 		// Without a deadline, a caller that sends its body slowly holds a connection
-		// without end.
+		// indefinitely.
 		deadline := time.Now().Add(berylsettings.Millis(daemon.settings.Callers.ReadMillis))
 		_ = http.NewResponseController(writer).SetReadDeadline(deadline)
 		request.Body = http.MaxBytesReader(writer, request.Body, daemon.settings.Callers.MaxBodyBytes)
@@ -108,7 +108,7 @@
 }
 
 // refuseUnknownKey refuses a key that belongs to no organisation. A daemon without a
-// configuration cannot tell, so it answers that it is starting.
+// configuration does not know any keys yet, so it answers that it is starting.
 func (daemon *Daemon) refuseUnknownKey(writer http.ResponseWriter) {
 	if len(daemon.Declarations().Organisations) == 0 {
 		daemon.refuse(writer, 0, &berylspoke.Refusal{
--- a/io/berylserve/daemon.go
+++ b/io/berylserve/daemon.go
@@ -53,8 +53,8 @@
 	drained         chan struct{}
 }
 
-// newIncarnation returns a number that is unique and grows with each start of the
-// daemon of a VM, so that membership can order the rumours of successive runs.
+// newIncarnation returns a unique number that grows with each start of the daemon on a
+// VM, so that membership can order the rumours of successive runs.
 func newIncarnation(now time.Time) (berylspoke.Incarnation, error) {
 	var random [8]byte
 	if _, err := rand.Read(random[:]); err != nil {
@@ -121,8 +121,8 @@
 	}))
 }
 
-// listen opens the sockets, that of peers first: messages that arrive early wait in
-// the mailbox of the actor.
+// listen opens the sockets, the peer socket first. Messages from peers reach the actor,
+// which already runs, as soon as that socket is open.
 func (daemon *Daemon) listen() error {
 	transport, err := berylpeer.Listen(berylpeer.Options{
 		VM: daemon.settings.VM, Address: daemon.settings.PeerAddress, Keys: daemon.settings.Keys(),
@@ -154,7 +154,7 @@
 }
 
 const (
-	// drainNoticePeriod is how long new requests are still served after the drain was
+	// drainNoticePeriod is how long new requests are still served after the drain is
 	// announced, for callers that have cached the address of this daemon.
 	drainNoticePeriod = 2 * time.Second
 	// drainPollInterval is the time between two counts of the remaining requests.
--- a/io/berylserve/generation.go
+++ b/io/berylserve/generation.go
@@ -124,7 +124,7 @@
 
 // generate streams the answer to a generation request to its end. If an engine or its
 // connection fails, another attempt resumes the stream at the offset that the caller has
-// reached, so that a fault does not cut an answer that another target can complete.
+// reached, so that a fault does not interrupt an answer that another target can complete.
 func (daemon *Daemon) generate(ctx context.Context, from caller, service berylspoke.ServiceID, body wireGenerationRequest, stream *callerStream) *berylspoke.Refusal {
 	started := time.Now()
 	for try := 1; ; try++ {
@@ -197,7 +197,8 @@
 	return err
 }
 
-// chunkOverheadBytes approximates what a line of an engine's stream adds to its text.
+// chunkOverheadBytes approximates the size of a line of an engine's stream without its
+// text.
 const chunkOverheadBytes = 80
 
 // tokenIntervalMeter measures the mean time between tokens of one stream.
--- a/io/berylserve/index.go
+++ b/io/berylserve/index.go
@@ -1,6 +1,6 @@
 package berylserve
 
-// This file defines the indexes that HTTP handlers read without asking the actor.
+// This file defines the indexes that HTTP handlers read without a message to the actor.
 
 import (
 	"crypto/sha256"
--- a/io/berylserve/operators.go
+++ b/io/berylserve/operators.go
@@ -90,7 +90,7 @@
 	_, _ = writer.Write([]byte("ready\n"))
 }
 
-// serveDrain drains the daemon and answers when no request is left.
+// serveDrain drains the daemon and answers when no request remains.
 func (daemon *Daemon) serveDrain(writer http.ResponseWriter, request *http.Request) {
 	if err := daemon.Drain(request.Context()); err != nil {
 		http.Error(writer, "drain was interrupted", http.StatusServiceUnavailable)
--- a/io/berylserve/watch.go
+++ b/io/berylserve/watch.go
@@ -16,11 +16,11 @@
 )
 
 const (
-	// watchCheckInterval is the mean time after which a daemon that is no watcher of the
-	// platform checks again whether it should be one.
+	// watchCheckInterval is the mean time after which a daemon that does not watch the
+	// platform checks again whether it should.
 	watchCheckInterval = 2 * time.Second
-	// nonWatcherInterval is the time after which a daemon that is no watcher asks the
-	// platform once, in case the watchers of its failure domain receive nothing.
+	// nonWatcherInterval is the time after which a daemon that does not watch the
+	// platform reads it once, in case the watchers of its failure domain receive nothing.
 	nonWatcherInterval = 60 * time.Second
 )
 
