--- a/io/beryltarget/client.go
+++ b/io/beryltarget/client.go
@@ -67,9 +67,9 @@
 func NewClient(options Options, locator Locator) *Client {
 	client := &Client{options: options, locator: locator}
 	dialer := &net.Dialer{Timeout: dialTimeout}
-	// Each stream and call uses a connection of its own. A middlebox may have dropped
-	// the state of a reused one; net/http would then hang or retry the request by
-	// itself, and whether it ran could not be determined.
+	// Each stream and call opens a new connection. A middlebox may have dropped the
+	// state of a reused one; net/http would then hang or retry the request by itself,
+	// and whether it ran could not be determined.
 	newTransport := func() *http.Transport {
 		return &http.Transport{DialContext: dialer.DialContext, DisableKeepAlives: true, DisableCompression: true}
 	}
--- a/io/beryltarget/stream.go
+++ b/io/beryltarget/stream.go
@@ -180,15 +180,15 @@
 	watchdog.progress <- offset
 }
 
-// maxProbeFailures is the number of failed probes without progress between them that ends
-// a stream.
+// maxProbeFailures is the number of failed probes, without progress between them, after
+// which a stream is ended.
 const maxProbeFailures = 2
 
-// run probes the engine whenever no chunk has arrived for the timeout. A middlebox may
+// run probes the engine whenever no chunk has arrived within the timeout. A middlebox may
 // have dropped the state of the connection, which then delivers nothing and reports no
-// error while new connections work. If the engine answers a probe with an offset beyond
-// what arrived, or does not know the request, the connection has stalled. Otherwise the
-// engine is only slow.
+// error while new connections work. The connection has stalled if the engine reports more
+// tokens than have arrived, or does not know the request. Otherwise the engine is only
+// slow.
 func (watchdog *watchdog) run() {
 	received, timeout, failures := int64(watchdog.generation.Offset), watchdog.client.options.FirstTokenTimeout, 0
 	timer := time.NewTimer(timeout)
