--- a/io/berylcall/generation.go
+++ b/io/berylcall/generation.go
@@ -74,8 +74,8 @@
 }
 
 // waitToRetry reports whether to make another attempt. If one may succeed, it expires the
-// cached addresses and waits for the delay that the daemon asked for, or for minRetryDelay
-// if that is longer. It returns false if the context ends first.
+// cached addresses and waits for the delay that the daemon requested, or for minRetryDelay
+// if that is longer. It returns false if the context ends during the wait.
 func (client *Client) waitToRetry(ctx context.Context, err error) bool {
 	delay := minRetryDelay
 	var failure *Failure
