--- a/io/beryllog/log.go
+++ b/io/beryllog/log.go
@@ -14,13 +14,14 @@
 )
 
 const (
-	// maxBufferBytes bounds the buffered lines: about a second of the busiest process.
+	// maxBufferBytes bounds the buffered lines, to about one second of the log of the
+	// busiest process.
 	maxBufferBytes = 512 << 10
-	// flushDelay is how long lines are collected before they are written together; a
-	// write costs as much as some dozen lines.
+	// flushDelay is how long lines are collected before they are written together,
+	// because a write costs as much as some dozen lines.
 	flushDelay = 200 * time.Millisecond
-	// maxWriteBytes bounds one write. A pipe takes up to this size atomically, and
-	// collectors that read less than a large write lose the lines at its end.
+	// maxWriteBytes bounds one write. A pipe accepts up to this size atomically, and a
+	// collector that reads only part of a larger write loses the lines at its end.
 	maxWriteBytes = 4 << 10
 )
 
