--- a/io/berylpeer/peer_test.go
+++ b/io/berylpeer/peer_test.go
@@ -163,11 +163,11 @@
 // for their flow: it drops all packets between the two ports for good, while other
 // ports work. Messages must arrive again without intervention.
 func TestSilentConnectionIsReplaced(t *testing.T) {
-	left, right, front := freeAddress(t, "127.8.0.1"), freeAddress(t, "127.8.0.2"), freeAddress(t, "127.8.0.3")
-	relay, err := berylstand.NewPacketRelay(front, right, func(string, string) bool { return true })
+	left, right, relayAddress := freeAddress(t, "127.8.0.1"), freeAddress(t, "127.8.0.2"), freeAddress(t, "127.8.0.3")
+	relay, err := berylstand.NewPacketRelay(relayAddress, right, func(string, string) bool { return true })
 	require.NoError(t, err)
 	defer relay.Close()
-	locator := locations{"left": left, "right": front}
+	locator := locations{"left": left, "right": relayAddress}
 	sender, _ := listen(t, "left", left, fleetKey, locator)
 	_, inbox := listen(t, "right", right, fleetKey, locator)
 	number := berylspoke.EntryNumber(0)
@@ -186,10 +186,10 @@
 func TestForeignKeyIsRefused(t *testing.T) {
 	left, right := freeAddress(t, "127.8.0.1"), freeAddress(t, "127.8.0.2")
 	locator := locations{"left": left, "right": right}
-	stranger, _ := listen(t, "left", left, "another fleet's key, as long", locator)
+	foreignSender, _ := listen(t, "left", left, "another fleet's key, as long", locator)
 	receiver, inbox := listen(t, "right", right, fleetKey, locator)
 	for range 5 {
-		stranger.Send("right", berylconfig.PullRequest{After: 1})
+		foreignSender.Send("right", berylconfig.PullRequest{After: 1})
 		time.Sleep(100 * time.Millisecond)
 	}
 	require.Empty(t, inbox.received)
