--- a/io/berylsettings/decode.go
+++ b/io/berylsettings/decode.go
@@ -30,8 +30,8 @@
 
 var unknownField = regexp.MustCompile(`unknown field "([^"]*)"`)
 
-// explain adds the line to an error, and for an unknown field the most similar known
-// one.
+// explain adds the line number to a decoding error. For an unknown field it suggests the
+// most similar known one.
 func explain(body, standard []byte, offset int64, err error, into any) error {
 	var mismatch *json.UnmarshalTypeError
 	if errors.As(err, &mismatch) {
