--- a/soak/declared.go
+++ b/soak/declared.go
@@ -20,7 +20,7 @@
 	organisationCount = 6
 )
 
-// configState is what differs between the published versions.
+// configState holds the differences between the published versions.
 type configState struct {
 	// addedRoute is set if the version has the route of pathAdded.
 	addedRoute bool
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -15,7 +15,7 @@
 // fault is one kind of fault or planned operation.
 type fault struct {
 	name string
-	// planned marks a planned operation, which may cut no request.
+	// planned marks a planned operation, which must not interrupt any request.
 	planned bool
 	do      func(world *World, step step)
 }
@@ -74,8 +74,8 @@
 	// meanInterval is the mean time between the starts of two faults; most faults
 	// overlap.
 	meanInterval = 700 * time.Millisecond
-	// allProcessesProbability is the probability that a fault of the store affects
-	// all processes.
+	// allProcessesProbability is the probability that a fault of the store affects all
+	// processes instead of one.
 	allProcessesProbability = 0.25
 	// repeatProbability is the probability that a fault repeats the previous one.
 	repeatProbability = 0.3
@@ -190,7 +190,7 @@
 	chosen.relay.SetHarm(berylstand.Harm{})
 }
 
-// impairStore impairs the connections of one process to the store, or of all.
+// impairStore impairs the connections of one process or of all processes to the store.
 func (world *World) impairStore(step step, impairment berylstand.Harm) {
 	impaired := []*process{world.process(step)}
 	if step.chance < allProcessesProbability {
@@ -229,7 +229,7 @@
 	time.Sleep(step.duration)
 }
 
-// suspend stops a process for a while, like a suspended VM.
+// suspend suspends a process for a while, as the suspension of its VM would.
 func (world *World) suspend(process *process, duration time.Duration) {
 	process.signal(syscall.SIGSTOP)
 	time.Sleep(duration)
--- a/soak/judge.go
+++ b/soak/judge.go
@@ -16,8 +16,7 @@
 
 const (
 	// drainGracePeriod is the time after which a draining target gets no new requests.
-	// The guarantee is four seconds; one and a half times as much again is for busy
-	// machines.
+	// The guarantee is four seconds; the other six allow for busy machines.
 	drainGracePeriod = 10 * time.Second
 	// maxViolations bounds the recorded violations.
 	maxViolations = 20
@@ -64,7 +63,7 @@
 	// unplanned is set once the first unplanned fault starts.
 	unplanned bool
 	newest    configState
-	// observed is what each run of a process has shown of its configuration.
+	// observed maps each run of a process to what its answers showed of its configuration.
 	observed   map[string]observedConfig
 	violations []Violation
 	served     int
@@ -175,7 +174,7 @@
 	if answer.Promised() && len(attempt.runs) > 0 && !attempt.repeatable() {
 		judge.addViolation("no run before notRun", "%s ran at %s and was then answered %d", answer.Ask.ID, attempt.runs[0].Target, answer.Status)
 	}
-	// A caller whose own deadline has passed cut the request itself. On a CPU-starved
+	// A caller whose own deadline has passed ended the request itself. On a CPU-starved
 	// machine this happens without a fault of the fleet.
 	cut := answer.Err != nil && !errors.Is(answer.Err, context.DeadlineExceeded)
 	if cut && attempt.planned && !judge.unplanned && len(attempt.runs) > 0 {
@@ -196,7 +195,7 @@
 	}
 }
 
-// checkConfiguration compares an answer with what the same run of a process showed
+// checkConfiguration compares an answer with those that the same run of a process gave
 // before the request was sent: a process never returns to an older configuration.
 func (judge *Judge) checkConfiguration(attempt *attempt, answer beryldouble.Answer) {
 	observed := judge.observed[attempt.processRun]
@@ -228,7 +227,7 @@
 	return first
 }
 
-// observedConfig is what one run of a process has shown of its configuration.
+// observedConfig is what the answers of one run of a process showed of its configuration.
 type observedConfig struct {
 	addedRoute  observation
 	revokedKeys [organisationCount + 1]observation
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -36,12 +36,12 @@
 	var sending sync.WaitGroup
 	sending.Go(func() { generator.run(ctx, seed) })
 	world.runPlan(plan, out)
-	recovered := world.awaitRecovery()
+	recoveryErr := world.awaitRecovery()
 	cancel()
 	sending.Wait()
 	result := world.judge.result()
-	if recovered != nil {
-		result.Violations = append(result.Violations, Violation{time.Since(world.judge.started), "service recovers", recovered.Error()})
+	if recoveryErr != nil {
+		result.Violations = append(result.Violations, Violation{time.Since(world.judge.started), "service recovers", recoveryErr.Error()})
 	}
 	return result
 }
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -75,7 +75,7 @@
 	soak(t, 1, shortSize)
 }
 
-// Seeds that once failed run again, each with the cause of its failure.
+// Runs the seeds that failed before; each entry names the cause of its failure.
 func TestRegressionSeeds(t *testing.T) {
 	regressions := []struct {
 		seed  uint64
--- a/soak/world.go
+++ b/soak/world.go
@@ -23,7 +23,7 @@
 	// startTimeout bounds the wait for a process to be ready. It is far above the
 	// usual time, so that a busy machine causes no failure.
 	startTimeout = 60 * time.Second
-	// stopSeconds is the time that a process has to stop, as its settings say.
+	// stopSeconds is the stop timeout in the settings of each process.
 	stopSeconds = 8
 )
 
@@ -149,7 +149,7 @@
 	return os.WriteFile(process.path, settings, 0o600)
 }
 
-// start starts a process, whose log is appended to a file of its own.
+// start starts a process and appends its output to its log file.
 func (world *World) start(process *process) error {
 	process.mutex.Lock()
 	defer process.mutex.Unlock()
