--- a/cmd/berylspoke/config_test.go
+++ b/cmd/berylspoke/config_test.go
@@ -67,7 +67,7 @@
 	fleet.waitVersion(3)
 }
 
-// Guards against regions that stop serving during a network partition or stay apart
+// Guards against regions that stop serving during a network partition or do not rejoin
 // after it. During the partition an operator publishes a patch, which takes effect on
 // both sides, both serve drafts, and a daemon restarts. Afterwards all daemons see each
 // other alive again.
@@ -114,8 +114,8 @@
 }
 
 // Guards against new requests to a draining engine: once the change is in force none
-// is sent to it, although entry daemons held leased slots of it. Requests that run
-// there complete.
+// is sent to it, although entry daemons still hold leased slots of it. Requests that
+// run there complete.
 func TestDrainingTargetGetsNoNewRequests(t *testing.T) {
 	plan := berylfleet.Kitamine()
 	plan.Areas = plan.Areas[:1]
@@ -262,8 +262,8 @@
 }
 
 // Guards against an engine that stays in a stale state: it ignores fencing numbers and
-// accepts a late order, as a lessor sends that was paused. The next comparison with
-// the declared state restores it.
+// accepts a late order, such as one from a lessor that was paused. The next comparison
+// with the declared state restores it.
 func TestEnginesReturnToTheirDeclaredState(t *testing.T) {
 	plan := berylfleet.Kitamine()
 	plan.Areas = plan.Areas[:1]
--- a/cmd/berylspoke/demo.go
+++ b/cmd/berylspoke/demo.go
@@ -109,7 +109,7 @@
 		fmt.Print(text)
 	})
 	if err != nil {
-		return errors.Wrap(err, "draft")
+		return errors.Wrap(err, "draft failed")
 	}
 	fmt.Printf("\n%d tokens, the first after %s, all after %s\n\n", tokens,
 		first.Round(time.Millisecond), time.Since(started).Round(time.Millisecond))
@@ -120,7 +120,7 @@
 	client := demoClient(fleet, "small-2")
 	id, owner, err := client.NewID(ctx)
 	if err != nil {
-		return errors.Wrap(err, "filing")
+		return errors.Wrap(err, "cannot obtain an id for the filing")
 	}
 	fmt.Println("A filing, sent twice under one id:")
 	path := "/letters"
@@ -130,7 +130,7 @@
 	for range 2 {
 		outcome := client.File(ctx, fleet.Plan.Desk, path, id, owner, "text/plain", []byte("a letter"))
 		if outcome.Err != nil {
-			return errors.Wrap(outcome.Err, "filing")
+			return errors.Wrap(outcome.Err, "filing failed")
 		}
 		fmt.Printf("  %s: %s", outcome.Verdict, outcome.Body)
 	}
@@ -153,7 +153,7 @@
 	published := time.Now()
 	fleet.Platform.Publish(body)
 	if err := fleet.WaitReady(ctx, 2); err != nil {
-		return errors.Wrap(err, "patch")
+		return errors.Wrap(err, "patch did not take effect at every daemon")
 	}
 	fmt.Printf("A patch against version 1 made version 2, in force at all %d daemons after %s\n",
 		len(fleet.Daemons), time.Since(published).Round(time.Millisecond))
--- a/cmd/berylspoke/dump.go
+++ b/cmd/berylspoke/dump.go
@@ -49,7 +49,7 @@
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/state", nil)
 	if err != nil {
-		return errors.Wrap(err, "address")
+		return errors.Wrap(err, "cannot create the request to the daemon")
 	}
 	request.Header.Set("Authorization", "Bearer "+os.Getenv(tokenVariable))
 	response, err := http.DefaultClient.Do(request)
--- a/cmd/berylspoke/edge.go
+++ b/cmd/berylspoke/edge.go
@@ -25,10 +25,10 @@
 	// runtime collects garbage eagerly; the rest is for stacks and kernel buffers.
 	memoryLimitFraction = 0.6
 	// settingsPollInterval is the time between two reads of the settings file, which
-	// may change without a signal.
+	// may change without a SIGHUP.
 	settingsPollInterval = 2 * time.Second
-	// defaultFleetKey is used where the platform provides no secrets. Only the
-	// platform's network protects the traffic between daemons then.
+	// defaultFleetKey is used where the platform provides no secrets. Then only the
+	// platform's network protects the traffic between daemons.
 	defaultFleetKey = "berylspoke: no secret on this platform"
 )
 
--- a/cmd/berylspoke/faults_test.go
+++ b/cmd/berylspoke/faults_test.go
@@ -31,39 +31,39 @@
 	done   chan error
 }
 
-func (draftStream *draftStream) received() berylspoke.Tokens {
-	draftStream.mutex.Lock()
-	defer draftStream.mutex.Unlock()
-	return draftStream.tokens
+func (stream *draftStream) received() berylspoke.Tokens {
+	stream.mutex.Lock()
+	defer stream.mutex.Unlock()
+	return stream.tokens
 }
 
 // wait waits for the end of the draft and checks that every byte of its own answer
 // arrived once and in order.
-func (draftStream *draftStream) wait(t *testing.T) {
+func (stream *draftStream) wait(t *testing.T) {
 	t.Helper()
-	require.NoError(t, <-draftStream.done)
-	require.Equal(t, berylstand.Text(draftStream.prompt, 0), draftStream.text.String())
+	require.NoError(t, <-stream.done)
+	require.Equal(t, berylstand.Text(stream.prompt, 0), stream.text.String())
 }
 
 // startDraft streams a draft. With one attempt the client does not retry, so only the
 // fleet can recover from a fault.
 func startDraft(ctx context.Context, client *berylcall.Client, service berylspoke.ServiceID, prompt string, attempts int) *draftStream {
-	draftStream := &draftStream{prompt: prompt, done: make(chan error, 1)}
+	stream := &draftStream{prompt: prompt, done: make(chan error, 1)}
 	go func() {
 		_, err := client.Stream(ctx, berylcall.Draft{Service: service, Prompt: prompt, Attempts: attempts}, func(piece string, tokens berylspoke.Tokens) {
-			draftStream.mutex.Lock()
-			defer draftStream.mutex.Unlock()
-			draftStream.text.WriteString(piece)
-			draftStream.tokens += tokens
+			stream.mutex.Lock()
+			defer stream.mutex.Unlock()
+			stream.text.WriteString(piece)
+			stream.tokens += tokens
 		})
-		draftStream.done <- err
+		stream.done <- err
 	}()
-	return draftStream
+	return stream
 }
 
-func (fleet *processFleet) waitTokens(draftStream *draftStream, minTokens berylspoke.Tokens) {
+func (fleet *processFleet) waitTokens(stream *draftStream, minTokens berylspoke.Tokens) {
 	fleet.t.Helper()
-	require.Eventually(fleet.t, func() bool { return draftStream.received() >= minTokens }, waitTimeout, 10*time.Millisecond)
+	require.Eventually(fleet.t, func() bool { return stream.received() >= minTokens }, waitTimeout, 10*time.Millisecond)
 }
 
 // Guards against a draft that is lost or damaged when the entry daemon that streams it
@@ -114,11 +114,11 @@
 		id = engine
 	}
 	target := fleet.Plan.Targets()[id]
-	front := fmt.Sprintf("127.%d.4.1:7400", fleet.Plan.Base)
-	relay, err := berylstand.NewStreamRelay(front, target.Address)
+	relayAddress := fmt.Sprintf("127.%d.4.1:7400", fleet.Plan.Base)
+	relay, err := berylstand.NewStreamRelay(relayAddress, target.Address)
 	require.NoError(t, err)
 	defer relay.Close()
-	target.Address = front
+	target.Address = relayAddress
 	fleet.publish(&berylconfig.Patch{Base: 1, Targets: map[berylspoke.TargetID]*berylconfig.Target{id: &target}})
 	entry := fleet.Plan.VMs()[0].ID
 	fleet.waitState(entry, func(state berylserve.Dump) bool { return state.Version == 2 })
--- a/cmd/berylspoke/patch.go
+++ b/cmd/berylspoke/patch.go
@@ -79,8 +79,8 @@
 	return errors.Wrap(os.WriteFile(command.out, body, 0o644), "cannot write the patch")
 }
 
-// readTimeout bounds each read of the platform's history. The last read waits for
-// further patches that do not come.
+// readTimeout bounds each read of the platform's history. The last read always takes
+// this long, because the platform holds it open for further patches.
 const readTimeout = 3 * time.Second
 
 // readState returns the state after all patches that the platform has published.
--- a/cmd/berylspoke/path_test.go
+++ b/cmd/berylspoke/path_test.go
@@ -1,6 +1,6 @@
 package main
 
-// This file tests the whole path of requests through separate processes.
+// This file tests requests and patches end to end with separate processes.
 
 import (
 	"strings"
