--- a/core/berylmodel/engine.go
+++ b/core/berylmodel/engine.go
@@ -84,7 +84,7 @@
 type LastUses map[uint64]time.Time
 
 // reuseWindow is the reuse window of the first deployment's platform, 5.9 s. Tokens of a
-// shared segment that are prefilled again within it after the segment's last use are
+// shared segment that are prefilled again within this time of the segment's last use are
 // charged as waste.
 const reuseWindow = 5900 * time.Millisecond
 
@@ -164,7 +164,7 @@
 }
 
 // evict drops the least recently used segments until the cache fits into the memory that
-// running jobs leave.
+// running jobs leave free.
 func (engine *Engine) evict() {
 	for engine.cachedTokens > max(engine.options.CacheCapacity-engine.reserved, 0) && engine.recency.Len() > 0 {
 		last := engine.recency.Back()
