--- a/io/berylstand/engine.go
+++ b/io/berylstand/engine.go
@@ -37,8 +37,8 @@
 	IgnoreFence bool
 }
 
-// DefaultEngineOptions returns the options of a small engine, which takes about 30 ms a
-// token at a full batch.
+// DefaultEngineOptions returns the options of a small engine, which takes about 30 ms per
+// token with a full batch.
 func DefaultEngineOptions() EngineOptions {
 	return EngineOptions{
 		Slots: 8, StepTime: 20 * time.Millisecond, StepTimePerRequest: time.Millisecond,
@@ -199,7 +199,7 @@
 	engine.mutex.Unlock()
 }
 
-// addRunning changes the batch size after it has added the slot time used until now.
+// addRunning accounts for the slot time used until now and then changes the batch size.
 func (engine *Engine) addRunning(change int) {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
@@ -235,8 +235,8 @@
 	}
 }
 
-// prefill caches the prefix of a prompt and returns the time to prefill the prompt; with
-// a cached prefix, that of a tenth of its tokens.
+// prefill caches the prefix of a prompt and returns the time to prefill the prompt. If the
+// prefix is cached already, only a tenth of the tokens are prefilled.
 func (engine *Engine) prefill(prompt string) time.Duration {
 	tokens := len(prompt) / 4
 	prefix := xxhash.Sum64String(prompt[:min(len(prompt), 512)])
@@ -265,9 +265,9 @@
 	return engine.options.StepTime + time.Duration(engine.running-1)*engine.options.StepTimePerRequest
 }
 
-// generate produces tokens at the engine's speed even while the client does not read,
+// generate produces tokens at the engine's speed, even while the client does not read,
 // until the buffers of the connection are full. Like a real engine, it stops when it
-// notices that the request is cancelled.
+// detects that the request is cancelled.
 func (engine *Engine) generate(ctx context.Context, writer http.ResponseWriter, body engineRequest) {
 	encoder := json.NewEncoder(writer)
 	flusher, _ := writer.(http.Flusher)
--- a/io/berylstand/packetrelay.go
+++ b/io/berylstand/packetrelay.go
@@ -67,8 +67,8 @@
 	}
 }
 
-// session returns the upstream socket of a sender, which it opens on the first packet;
-// nil drops the packet.
+// session returns the upstream socket of a sender, which it opens on the first packet, or
+// nil if the packet must be dropped.
 func (relay *PacketRelay) session(from *net.UDPAddr) *net.UDPConn {
 	relay.mutex.Lock()
 	defer relay.mutex.Unlock()
@@ -110,8 +110,8 @@
 	return relay.blackholed[sender.String()]
 }
 
-// Forget drops from now on all packets from and to the present senders' ports, as a
-// middlebox does that has lost the state of their flows; other ports are not affected.
+// Forget drops from now on all packets from and to the present senders' ports, like
+// a middlebox that has lost the state of their flows; other ports are not affected.
 // It returns the number of these ports.
 func (relay *PacketRelay) Forget() int {
 	relay.mutex.Lock()
--- a/io/berylstand/platform.go
+++ b/io/berylstand/platform.go
@@ -36,8 +36,8 @@
 	limiter *rate.Limiter
 	mutex   sync.Mutex
 	patches []patchValue
-	// visible is the number of patches that readers see; on a stale platform it is less
-	// than the number published.
+	// visible is the number of patches that readers see, on a stale platform fewer than
+	// were published.
 	visible  int
 	vms      []vmValue
 	revision uint64
--- a/io/berylstand/streamrelay.go
+++ b/io/berylstand/streamrelay.go
@@ -34,7 +34,7 @@
 	pairs      map[*connPair]bool
 }
 
-// connPair is a connection of a client with the one to the upstream address.
+// connPair is a client's connection and the matching connection to the upstream address.
 type connPair struct {
 	relay                *StreamRelay
 	downstream, upstream net.Conn
@@ -98,8 +98,8 @@
 	pair.relay.mutex.Unlock()
 }
 
-// pipe copies one direction until it ends. If data is dropped it continues to read but
-// forwards nothing, not even the end.
+// pipe copies one direction until it ends. Once data is dropped it continues to read but
+// forwards nothing, not even the end of the stream.
 func (pair *connPair) pipe(from, to net.Conn, drops func(*Harm) bool) {
 	buffer := make([]byte, 32<<10)
 	dropping := false
