--- a/io/berylfleet/embedded.go
+++ b/io/berylfleet/embedded.go
@@ -53,7 +53,7 @@
 	return nil
 }
 
-// pollInterval is the time between two checks of a condition that is waited for.
+// pollInterval is the time between two checks whether a daemon is ready.
 const pollInterval = 20 * time.Millisecond
 
 // WaitReady waits until every daemon is ready, knows all members and has at least the
@@ -74,7 +74,7 @@
 	return nil
 }
 
-// isComplete reports whether a number of members is all of them.
+// isComplete reports whether a daemon with this number of members knows all of them.
 func (fleet *Embedded) isComplete(members int) bool { return members >= len(fleet.Plan.VMs()) }
 
 // Close kills the daemons and stops the fakes.
