--- a/io/berylload/measure.go
+++ b/io/berylload/measure.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	// sampleEvery is the time between two samples of the gap.
-	sampleEvery = 500 * time.Millisecond
+	// sampleInterval is the time between two samples of the gap.
+	sampleInterval = 500 * time.Millisecond
 	// readTimeout bounds the request for the counters of an engine or a daemon.
 	readTimeout = 2 * time.Second
 )
@@ -85,10 +85,10 @@
 	}
 	before := run.readCounters()
 	report := &Report{Scenario: run.options.Scenario, NormalisedService: make(map[berylspoke.OrganisationID]float64)}
-	ticker := time.NewTicker(sampleEvery)
+	ticker := time.NewTicker(sampleInterval)
 	defer ticker.Stop()
 	// Sampling ends shortly before the callers stop.
-	end := time.Now().Add(run.options.Measure - 2*sampleEvery)
+	end := time.Now().Add(run.options.Measure - 2*sampleInterval)
 	for samples := 0; time.Now().Before(end) && ctx.Err() == nil; samples++ {
 		<-ticker.C
 		run.sampleGap(before, report)
@@ -178,9 +178,8 @@
 	return json.NewDecoder(response.Body).Decode(into)
 }
 
-// fill sets the results from the counters before and after the measurement. A daemon
-// that restarted in between, so that its counters are lower, is left out of the control
-// bytes.
+// fill sets the results from the counters before and after the measurement. The control
+// bytes exclude a daemon that restarted in between, which shows in lower counters.
 func (run *run) fill(before, after counters, report *Report) {
 	seconds := after.at.Sub(before.at).Seconds()
 	report.Seconds = seconds
--- a/io/berylload/run.go
+++ b/io/berylload/run.go
@@ -38,10 +38,10 @@
 	Seed     uint64
 	// LeastTokens and MostTokens bound the generated tokens of a request.
 	LeastTokens, MostTokens int
-	// Rate is the number of requests a second of all organisations in an open loop.
+	// Rate is the number of requests per second of all organisations in an open loop.
 	Rate float64
 	// Outstanding is the number of requests that an organisation of weight 1
-	// keeps at each of its entries in a closed loop.
+	// keeps at each of its entry daemons in a closed loop.
 	Outstanding int
 	// Progress, if not nil, receives progress messages during the run.
 	Progress func(string)
@@ -76,7 +76,7 @@
 	maxLatencyMicros = 600_000_000
 	// significantDigits is the number of significant digits of a histogram.
 	significantDigits = 3
-	// floodFactor is the factor on the outstanding requests of an organisation that floods.
+	// floodFactor multiplies the outstanding requests of the organisation that floods.
 	floodFactor = 40
 )
 
@@ -152,7 +152,8 @@
 	}
 }
 
-// closedLoop keeps a number of requests outstanding at each entry of an organisation.
+// closedLoop keeps a number of requests outstanding at each entry daemon of an
+// organisation.
 func (run *run) closedLoop(ctx context.Context, group *sync.WaitGroup, callers *organisationCallers, outstanding int) {
 	for i := range callers.clients {
 		for range outstanding {
