--- a/core/berylconfig/config_test.go
+++ b/core/berylconfig/config_test.go
@@ -27,7 +27,7 @@
 				if json.Compact(&compact, body) == nil {
 					body = compact.Bytes()
 				}
-				published = append(published, berylspoke.Published{Number: berylspoke.EntryNumber(len(published) + 1), Body: body})
+				published = append(published, berylspoke.Published{Number: berylspoke.PatchNumber(len(published) + 1), Body: body})
 				store.Add(published[len(published)-1:])
 				return describe(store)
 			case "stale":
@@ -39,7 +39,7 @@
 			case "rewrite":
 				var number int
 				step.ScanArgs(t, "number", &number)
-				store.Add([]berylspoke.Published{{Number: berylspoke.EntryNumber(number), Body: []byte(`{"base":0}`)}})
+				store.Add([]berylspoke.Published{{Number: berylspoke.PatchNumber(number), Body: []byte(`{"base":0}`)}})
 				return fmt.Sprintf("%sconflicts %d\n", describe(store), store.Conflicts)
 			case "organisations":
 				var text strings.Builder
@@ -81,7 +81,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var published []berylspoke.Published
 		stores := []*Store{NewStore(), NewStore(), NewStore()}
-		byNumber := make(map[berylspoke.EntryNumber]Hash)
+		byNumber := make(map[berylspoke.PatchNumber]Hash)
 		reader := func(t *rapid.T) *Store { return stores[rapid.IntRange(0, len(stores)-1).Draw(t, "reader")] }
 		t.Repeat(map[string]func(*rapid.T){
 			"publish": func(t *rapid.T) {
@@ -90,7 +90,7 @@
 					base = berylspoke.ConfigVersion(rapid.IntRange(0, 3).Draw(t, "base"))
 				}
 				body := drawPatch(t, base)
-				published = append(published, berylspoke.Published{Number: berylspoke.EntryNumber(len(published) + 1), Body: body})
+				published = append(published, berylspoke.Published{Number: berylspoke.PatchNumber(len(published) + 1), Body: body})
 				stores[0].Add(published)
 			},
 			"read": func(t *rapid.T) {
@@ -103,14 +103,14 @@
 			},
 			"pull": func(t *rapid.T) {
 				to, from := reader(t), reader(t)
-				if entries, kept := from.After(to.State().Number, 100); kept {
+				if entries, kept := from.EntriesAfter(to.State().Number, 100); kept {
 					to.Add(entries)
 				}
 			},
 			"adopt": func(t *rapid.T) {
 				to, from := reader(t), reader(t)
 				before := to.State().Number
-				to.Adopt(from.Snapshot())
+				to.ApplySnapshot(from.Snapshot())
 				if to.State().Number < before {
 					t.Fatalf("a snapshot set the number back from %d to %d", before, to.State().Number)
 				}
@@ -140,14 +140,14 @@
 	ahead, behind := NewStore(), NewStore()
 	for number := range 2 * maxEntries {
 		body := fmt.Sprintf(`{"base":%d,"organisations":{"o%d":{"weight":1,"keyDigests":[]}}}`, number, number%7)
-		ahead.Add([]berylspoke.Published{{Number: berylspoke.EntryNumber(number + 1), Body: []byte(body)}})
+		ahead.Add([]berylspoke.Published{{Number: berylspoke.PatchNumber(number + 1), Body: []byte(body)}})
 	}
-	_, kept := ahead.After(behind.State().Number, 1000)
+	_, kept := ahead.EntriesAfter(behind.State().Number, 1000)
 	require.False(t, kept)
-	require.True(t, behind.Adopt(ahead.Snapshot()))
+	require.True(t, behind.ApplySnapshot(ahead.Snapshot()))
 	require.Equal(t, ahead.State().Hash, behind.State().Hash)
 	require.Len(t, behind.State().Declarations.Organisations, 7)
-	require.False(t, behind.Adopt([]byte(`{"number":99999}`)), "a malformed snapshot changes nothing")
+	require.False(t, behind.ApplySnapshot([]byte(`{"number":99999}`)), "a malformed snapshot changes nothing")
 }
 
 func FuzzParsePatch(f *testing.F) {
--- a/core/berylnode/placement.go
+++ b/core/berylnode/placement.go
@@ -26,7 +26,7 @@
 		Self: node.self.VM, Live: live, Declarations: state.Declarations,
 		DomainOf: make(map[berylspoke.VMID]berylspoke.FailureDomain),
 	}
-	for _, member := range node.table.All() {
+	for _, member := range node.table.Members() {
 		node.fleet.DomainOf[member.VM.ID] = member.VM.FailureDomain
 	}
 	placed := berylroute.Place(node.fleet)
@@ -54,7 +54,7 @@
 	return text.String()
 }
 
-func (node *Node) placeService(now time.Time, id berylspoke.ServiceID, lessors *berylroute.Keepers) {
+func (node *Node) placeService(now time.Time, id berylspoke.ServiceID, lessors *berylroute.Lessors) {
 	found := node.services[id]
 	if found == nil {
 		found = &service{
@@ -66,13 +66,13 @@
 	}
 	found.lessors = lessors
 	for target, lessor := range lessors.Of {
-		found.holder.Move(target, lessor)
+		found.holder.ReassignTarget(target, lessor)
 	}
-	if found.lessor == nil && len(lessors.Mine) > 0 {
-		found.lessor = berylslot.NewKeeper(now, node.self, id, node.options.Keeper)
+	if found.lessor == nil && len(lessors.Own) > 0 {
+		found.lessor = berylslot.NewLessor(now, node.self, id, node.options.Lessor)
 	}
 	if found.lessor != nil {
-		found.lessor.SetTargets(now, lessors.Mine)
+		found.lessor.SetTargets(now, lessors.Own)
 	}
 }
 
@@ -81,7 +81,7 @@
 func (node *Node) removeService(now time.Time, service *service) {
 	for id, request := range node.waiting {
 		if request.Service == service.id {
-			node.refuse(now, id, berylspoke.ReasonUnknown, 0)
+			node.refuse(now, id, berylspoke.ReasonUnknownService, 0)
 		}
 	}
 	delete(node.services, service.id)
@@ -94,39 +94,39 @@
 	for _, vm := range live {
 		alive[vm] = true
 	}
-	for _, member := range node.table.All() {
+	for _, member := range node.table.Members() {
 		if alive[member.VM.ID] || member.Rumour.Leaving {
 			continue
 		}
 		for _, service := range node.services {
-			service.holder.Drop(member.VM.ID)
+			service.holder.ExpireLessor(member.VM.ID)
 			if service.lessor != nil {
-				service.lessor.Drop(member.VM.ID)
+				service.lessor.RemoveHolder(member.VM.ID)
 			}
 		}
 	}
 }
 
-// lessorsToAsk returns the lessors that this entry daemon requests slots from now: a few
+// activeLessors returns the lessors that this entry daemon requests slots from now: a few
 // in its own region, and some in other regions while requests may go there.
-func (node *Node) lessorsToAsk(now time.Time, service *service) berylslot.Asked {
+func (node *Node) activeLessors(now time.Time, service *service) berylslot.Lessors {
 	if now.Sub(service.rotated) > rotationInterval {
 		service.rotated = now
 		service.round++
 	}
-	asked := berylslot.Asked{
-		Local: berylroute.Window(service.lessors.Local, node.options.MaxLessors, service.round),
+	lessors := berylslot.Lessors{
+		Local: berylroute.SelectLessors(service.lessors.Local, node.options.MaxLessors, service.round),
 		// Newcomers are reported with a tag lower by the slack. This alone must not
 		// send them over the link between regions, which is paid by volume.
-		Margin: node.options.CrossMargin + node.options.Keeper.Slack,
+		Margin: node.options.CrossMargin + node.options.Lessor.Slack,
 	}
 	if len(service.lessors.Local) == 0 {
-		asked.Margin = 0
+		lessors.Margin = 0
 	}
 	if node.mayCrossRegions(now, service) {
-		asked.Remote = berylroute.Window(service.lessors.Remote, maxRemoteLessors, service.round)
+		lessors.Remote = berylroute.SelectLessors(service.lessors.Remote, maxRemoteLessors, service.round)
 	}
-	return asked
+	return lessors
 }
 
 const (
@@ -149,7 +149,7 @@
 	if service.backlogged.IsZero() {
 		service.backlogged = now
 	}
-	return now.Sub(service.backlogged) >= node.options.CrossAfter && node.crossBudget.Left(now) > 0
+	return now.Sub(service.backlogged) >= node.options.CrossAfter && node.crossBudget.Remaining(now) > 0
 }
 
 // isRemote reports whether a target is in another region.
@@ -166,7 +166,7 @@
 		share = float64(node.Declarations().Organisations[organisation].Weight) / node.totalWeight
 	}
 	var addresses []string
-	for _, vm := range berylroute.Entries(node.fleet, organisation, share) {
+	for _, vm := range berylroute.EntryVMs(node.fleet, organisation, share) {
 		if member := node.table.Member(vm); member != nil {
 			addresses = append(addresses, member.VM.CallAddress)
 		}
@@ -180,8 +180,8 @@
 func (node *Node) chooseWitness() berylspoke.Process {
 	var best berylspoke.Process
 	bestRank := -1
-	for _, vm := range berylroute.Preferred("witness of "+string(node.self.VM), node.table.Live()) {
-		incarnation := node.table.Known(vm)
+	for _, vm := range berylroute.RankVMs("witness of "+string(node.self.VM), node.table.Live()) {
+		incarnation := node.table.Incarnation(vm)
 		if vm == node.self.VM || incarnation == 0 {
 			continue
 		}
--- a/io/berylload/run.go
+++ b/io/berylload/run.go
@@ -36,10 +36,11 @@
 	Warmup   time.Duration
 	Measure  time.Duration
 	Seed     uint64
-	// LeastTokens and MostTokens bound the generated tokens of a request.
-	LeastTokens, MostTokens int
-	// Rate is the number of requests per second of all organisations in an open loop.
-	Rate float64
+	// MinTokens and MaxTokens bound the generated tokens of a request.
+	MinTokens, MaxTokens int
+	// RequestsPerSecond is the number of requests per second of all organisations in an
+	// open loop.
+	RequestsPerSecond float64
 	// Outstanding is the number of requests that an organisation of weight 1
 	// keeps at each of its entry daemons in a closed loop.
 	Outstanding int
@@ -51,7 +52,7 @@
 func DefaultOptions() Options {
 	return Options{
 		Scenario: Backlog, Warmup: 15 * time.Second, Measure: 45 * time.Second, Seed: 1,
-		LeastTokens: 30, MostTokens: 250, Rate: 5, Outstanding: 8,
+		MinTokens: 30, MaxTokens: 250, RequestsPerSecond: 5, Outstanding: 8,
 	}
 }
 
@@ -102,7 +103,7 @@
 		for next := 1; next < count; next++ {
 			seeds = append(seeds, fleet.Entries[(index*index+i+next)%count].CallAddress)
 		}
-		callers.clients = append(callers.clients, berylcall.New(berylcall.Options{Seeds: seeds, Key: organisation.Key, Fixed: true}))
+		callers.clients = append(callers.clients, berylcall.New(berylcall.Options{Seeds: seeds, Key: organisation.Key, SeedsOnly: true}))
 	}
 	return callers
 }
@@ -178,7 +179,7 @@
 	}
 	for ctx.Err() == nil {
 		run.mutex.Lock()
-		wait := time.Duration(run.random.ExpFloat64() / run.options.Rate * float64(time.Second))
+		wait := time.Duration(run.random.ExpFloat64() / run.options.RequestsPerSecond * float64(time.Second))
 		pick := berylspoke.Weight(run.random.Int64N(int64(total)))
 		run.mutex.Unlock()
 		select {
@@ -222,14 +223,14 @@
 func (run *run) generate(ctx context.Context, callers *organisationCallers, client *berylcall.Client) {
 	run.mutex.Lock()
 	run.serial++
-	length := run.options.LeastTokens + run.random.IntN(run.options.MostTokens-run.options.LeastTokens+1)
+	length := run.options.MinTokens + run.random.IntN(run.options.MaxTokens-run.options.MinTokens+1)
 	hint := int(float64(length) * (0.5 + run.random.Float64()))
 	prompt := fmt.Sprintf("%s asks %d. %s[tokens=%d]", callers.organisation.ID, run.serial, strings.Repeat("facts ", run.random.IntN(40)), length)
 	run.mutex.Unlock()
 	started := time.Now()
 	lastReceived := time.Time{}
-	_, err := client.Stream(ctx, berylcall.Draft{
-		Service: run.fleet.ModelService, Prompt: prompt, Hint: berylspoke.Tokens(hint), Attempts: 2,
+	_, err := client.Stream(ctx, berylcall.GenerationRequest{
+		Service: run.fleet.ModelService, Prompt: prompt, Hint: berylspoke.Tokens(hint), MaxAttempts: 2,
 	}, func(_ string, tokens berylspoke.Tokens) {
 		now := time.Now()
 		callers.receive(now, started, lastReceived, tokens, run.flooding(now))
--- a/io/berylserve/watch.go
+++ b/io/berylserve/watch.go
@@ -55,10 +55,10 @@
 	delays := platformBackoff()
 	lastRead := time.Now()
 	for daemon.ctx.Err() == nil {
-		var number berylspoke.EntryNumber
+		var number berylspoke.PatchNumber
 		watches := false
 		err := daemon.inspect(daemon.ctx, func(now time.Time, node *berylnode.Node) {
-			number, watches = node.Config().Number, node.Watches(now)
+			number, watches = node.Config().Number, node.WatchesPlatform(now)
 		})
 		if err != nil {
 			return
@@ -83,10 +83,10 @@
 
 // pollLoads polls the load of the targets whose lessor is this daemon.
 func (daemon *Daemon) pollLoads() {
-	interval := berylsettings.Millis(daemon.settings.Targets.LoadMillis)
+	interval := berylsettings.Millis(daemon.settings.Targets.LoadIntervalMillis)
 	for sleep(daemon.ctx, interval) {
 		var leased []berylspoke.TargetID
-		if daemon.inspect(daemon.ctx, func(_ time.Time, node *berylnode.Node) { leased = node.Kept() }) != nil {
+		if daemon.inspect(daemon.ctx, func(_ time.Time, node *berylnode.Node) { leased = node.LeasedTargets() }) != nil {
 			return
 		}
 		var group sync.WaitGroup
