--- a/io/berylplatform/client.go
+++ b/io/berylplatform/client.go
@@ -47,15 +47,15 @@
 
 // Client implements berylspoke.Platform over HTTP.
 type Client struct {
-	base   string
-	client *http.Client
+	baseURL string
+	client  *http.Client
 }
 
 var _ berylspoke.Platform = (*Client)(nil)
 
 // NewClient returns a client for the platform at the given address.
 func NewClient(address string) *Client {
-	return &Client{base: "http://" + address, client: &http.Client{Timeout: watchWait + responseSlack}}
+	return &Client{baseURL: "http://" + address, client: &http.Client{Timeout: watchWait + responseSlack}}
 }
 
 // Patches returns the patches published after the given number. It waits for one, up to
@@ -92,7 +92,7 @@
 }
 
 func (client *Client) get(ctx context.Context, path string, body any) error {
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, client.base+path, nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, client.baseURL+path, nil)
 	if err != nil {
 		return errors.Wrap(err, "platform request cannot be created")
 	}
