--- a/cmd/berylspoke/plan.go
+++ b/cmd/berylspoke/plan.go
@@ -20,7 +20,7 @@
 
 type planCommand struct {
 	deployment, folder, policy string
-	base, scale                int
+	loopbackNetwork, scale     int
 }
 
 func (*planCommand) Name() string     { return "plan" }
@@ -40,7 +40,7 @@
 	flags.StringVar(&command.folder, "folder", "", "`folder` to write to")
 	flags.StringVar(&command.policy, "policy", string(berylshare.FleetFair), "fleetFair, or a baseline: localFair, firstCome")
 	flags.IntVar(&command.scale, "scale", 1, "factor for the numbers of VMs and targets of the deployment")
-	flags.IntVar(&command.base, "base", 30, "second byte of the loopback addresses")
+	flags.IntVar(&command.loopbackNetwork, "base", 30, "second byte of the loopback addresses")
 }
 
 func (command *planCommand) Execute(context.Context, *flag.FlagSet, ...any) subcommands.ExitStatus {
@@ -56,7 +56,7 @@
 		return fmt.Errorf("deployment %q is neither kitamine nor parish", command.deployment)
 	}
 	plan = plan.Scaled(command.scale)
-	plan.LoopbackNetwork = command.base
+	plan.LoopbackNetwork = command.loopbackNetwork
 	if err := os.MkdirAll(command.folder, 0o755); err != nil {
 		return errors.Wrap(err, "cannot create the folder")
 	}
--- a/cmd/berylspoke/stand.go
+++ b/cmd/berylspoke/stand.go
@@ -19,8 +19,8 @@
 )
 
 type standCommand struct {
-	kind, address, deployment string
-	slots, base, scale        int
+	kind, address, deployment     string
+	slots, loopbackNetwork, scale int
 }
 
 func (*standCommand) Name() string     { return "stand" }
@@ -42,7 +42,7 @@
 	flags.StringVar(&command.address, "address", "127.0.0.1:7000", "`address` to listen on")
 	flags.StringVar(&command.deployment, "deployment", "kitamine", "deployment whose fakes to run, kitamine or parish")
 	flags.IntVar(&command.scale, "scale", 1, "factor for the numbers of VMs and targets of the deployment")
-	flags.IntVar(&command.base, "base", 30, "second byte of a deployment's loopback addresses")
+	flags.IntVar(&command.loopbackNetwork, "base", 30, "second byte of a deployment's loopback addresses")
 	flags.IntVar(&command.slots, "slots", berylstand.DefaultEngineOptions().Slots, "batch size of an engine")
 }
 
@@ -86,7 +86,7 @@
 		return fail(fmt.Errorf("deployment %q is neither kitamine nor parish", command.deployment))
 	}
 	plan = plan.Scaled(command.scale)
-	plan.LoopbackNetwork = command.base
+	plan.LoopbackNetwork = command.loopbackNetwork
 	fakes, err := berylfleet.StartFakes(plan)
 	if err != nil {
 		return fail(err)
