--- a/io/berylfleet/plan.go
+++ b/io/berylfleet/plan.go
@@ -102,10 +102,10 @@
 // FindLoopbackNetwork returns the second byte of the first loopback network, from the
 // given one on, whose platform address is free.
 func FindLoopbackNetwork(from int) (int, error) {
-	for base := from; base < 250; base++ {
-		listener, err := net.Listen("tcp", fmt.Sprintf("127.%d.0.1:%d", base, platformPort))
+	for network := from; network < 250; network++ {
+		listener, err := net.Listen("tcp", fmt.Sprintf("127.%d.0.1:%d", network, platformPort))
 		if err == nil {
-			return base, listener.Close()
+			return network, listener.Close()
 		}
 	}
 	return 0, errors.New("no loopback network is free")
