--- a/core/berylmodel/model_test.go
+++ b/core/berylmodel/model_test.go
@@ -81,9 +81,9 @@
 }
 
 // Guards against late answers for all while one organisation floods the fleet: it sends
-// ten times its usual rate for ten seconds, as on the users' days, and demand exceeds the
-// capacity of the engines, which serve in order of arrival. The other organisations stay
-// within their shares, so hardly any of their requests may be rejected or late.
+// ten times its usual rate for ten seconds, as on days of high load, and demand exceeds
+// the capacity of the engines, which serve in order of arrival. The other organisations
+// stay within their shares, so hardly any of their requests may be rejected or late.
 func TestFloodHardlyAffectsOtherOrganisations(t *testing.T) {
 	load := meanLoad(2)
 	load.RequestsPerSecond = 200
