--- a/core/berylgate/allowance.go
+++ b/core/berylgate/allowance.go
@@ -1,7 +1,7 @@
 package berylgate
 
-// This file defines how long a request may be expected to wait, by the share of
-// its organisation.
+// This file defines how long a request may be expected to wait, given the usage of its
+// organisation.
 
 import (
 	"math"
@@ -11,81 +11,80 @@
 )
 
 const (
-	// headroom is the part of the objective that the expected time to the first
-	// token may take up: the rest covers the error of the model, whose spread at
-	// full load is about a tenth.
-	headroom = 0.9
-	// overPower is how fast the part of the objective that an organisation may use
-	// falls with the times that it was given its max-min level, and overLeast the
-	// part that is always left, as nobody waits while targets have room.
-	overPower = 1.0
-	overLeast = 0.15
+	// maxObjectiveShare is the part of the objective that the expected time to first
+	// token may use. The rest covers the error of the model, whose spread at full load is
+	// about a tenth.
+	maxObjectiveShare = 0.9
+	// overuseExponent is how fast the part of the objective that an organisation may use
+	// falls with its overuse, and minObjectiveShare the part that always remains, as
+	// nothing queues while targets have room.
+	overuseExponent   = 1.0
+	minObjectiveShare = 0.15
 )
 
 // allowance is how long a request may be expected to wait for its first byte.
 type allowance struct {
-	limit float64
-	// idleLimit is the limit at a target where nobody waits.
-	idleLimit float64
-	// times is how many times its max-min level the organisation was given.
-	times float64
-	// over says that the organisation is beyond its share. Its prompts leave
-	// their home only for a target where nobody waits: read elsewhere, they push
-	// out what others' prompts share. Capped organisations got all that they may for
-	// now, also at idle engines: what they get there beyond the cap, others lack once
-	// they ask for it.
-	over, capped bool
+	limitMillis float64
+	// idleLimitMillis is the limit at an idle target.
+	idleLimitMillis float64
+	// overuse is how many times its max-min level the organisation was served.
+	overuse float64
+	// overLevel says that the organisation is beyond its level. Its prompts leave their
+	// home target only for an idle one: prefilled elsewhere, they evict segments that
+	// other prompts share. capped says that the organisation was served all that it may
+	// get for now. That holds at idle engines too: what it gets there beyond the cap,
+	// others lack once they have demand.
+	overLevel, capped bool
 }
 
-// admits says whether a candidate is good enough. A prompt so large that it
-// alone exceeds the limit would never be served; it is sent where nobody waits.
-// Whoever is over its share but not capped may use a target where nobody waits and
-// its parts are kept up to the limit of all: with the shorter one, the least served
-// of those beyond their level would be refused at idle engines.
+// admits reports whether a candidate is good enough. A prompt so large that it exceeds
+// the limit on an unloaded target would never be served; it is sent to an idle one. An
+// organisation beyond its level but not capped may use an idle target that has the
+// prompt's shared segments cached up to the limit of all: with its own shorter limit, the
+// least served of those beyond their level would be refused at idle engines.
 func (allowance allowance) admits(option candidate) bool {
 	idle := option.target.idle()
 	switch {
 	case allowance.capped:
 		return false
-	case option.expected <= allowance.limit:
-		return !allowance.over || option.lacks == 0 || idle
-	case allowance.over:
-		return idle && option.lacks == 0 && option.expected <= allowance.idleLimit
+	case option.expectedMillis <= allowance.limitMillis:
+		return !allowance.overLevel || option.uncached == 0 || idle
+	case allowance.overLevel:
+		return idle && option.uncached == 0 && option.expectedMillis <= allowance.idleLimitMillis
 	default:
-		return idle && option.alone > allowance.limit
+		return idle && option.unloadedMillis > allowance.limitMillis
 	}
 }
 
-// allow returns what a request may be expected to wait. One that goes on after a
-// failure was let in already.
-func (gate *Gate) allow(now time.Time, pool *pool, request *Request, again bool) allowance {
-	if again {
-		return allowance{limit: math.Inf(1), times: 1}
+// allow returns the allowance of a request. A retry has no limit, as the request was
+// admitted before.
+func (gate *Gate) allow(now time.Time, pool *pool, request *Request, retry bool) allowance {
+	if retry {
+		return allowance{limitMillis: math.Inf(1), overuse: 1}
 	}
-	times := gate.over(now, pool, request)
+	overuse := gate.overuse(now, pool, request)
 	return allowance{
-		limit: gate.limit(now, request, times), idleLimit: gate.limit(now, request, 1), times: times,
-		over: times > 1, capped: math.IsInf(times, 1),
+		limitMillis: gate.limitMillis(now, request, overuse), idleLimitMillis: gate.limitMillis(now, request, 1), overuse: overuse,
+		overLevel: overuse > 1, capped: math.IsInf(overuse, 1),
 	}
 }
 
-// Share is what an organisation asks for and is given in the fleet, in tokens a
-// second, and how much it may get: its max-min level, and the cap beyond which
-// nothing more is sent for it.
+// Share is the demand and the service of an organisation in the fleet in tokens per
+// second, and how much it may get: its max-min level, and the cap beyond which nothing
+// more is sent for it.
 type Share struct {
 	Asked, Given, Level, Cap float64
 }
 
-// TokensOf returns what a request counts in its organisation's share.
+// TokensOf returns the weighted tokens that a request counts in its organisation's usage.
 func TokensOf(request *Request) berylspoke.Tokens {
-	return tokensRead*request.Input + tokensMade*request.Output
+	return inputWeight*request.Input + outputWeight*request.Output
 }
 
-// over returns how many times its max-min level an organisation was given, one
-// at most for whoever is within it, and without bound for whoever is too far
-// ahead of the others.
-func (gate *Gate) over(now time.Time, pool *pool, request *Request) float64 {
-	if pool.declared.Engine == nil {
+// overuse returns how many times its max-min level an organisation was served: one for an
+// organisation within its level, infinity for one that may not start another request.
+func (gate *Gate) overuse(now time.Time, pool *pool, request *Request) float64 {
+	if pool.service.Engine == nil {
 		return 1
 	}
 	gate.refreshLevels(now)
@@ -93,15 +92,15 @@
 		return 1
 	}
 	organisation := hashOf(string(request.Organisation))
-	given := gate.given(now, organisation)
-	if given > capGuard*gate.shares.cap || !gate.thin(now, organisation) {
+	served := gate.served(now, organisation)
+	if served > maxCapOverrun*gate.shares.cap || !gate.mayStart(now, organisation) {
 		return math.Inf(1)
 	}
-	return max(1, given/gate.shares.level)
+	return max(1, served/gate.shares.level)
 }
 
-// Allowances returns the tokens that each organisation beyond its cap may still begin
-// here. Whoever is within it is not named.
+// Allowances returns the tokens that each organisation beyond its cap may still start at
+// this daemon. Organisations within their cap are not listed.
 func (gate *Gate) Allowances(now time.Time) map[berylspoke.OrganisationID]float64 {
 	gate.refreshLevels(now)
 	if math.IsInf(gate.shares.cap, 1) {
@@ -111,51 +110,51 @@
 	for hash, usage := range gate.shares.own {
 		switch {
 		case usage.organisation == "":
-		case gate.given(now, hash) > capGuard*gate.shares.cap:
+		case gate.served(now, hash) > maxCapOverrun*gate.shares.cap:
 			allowances[usage.organisation] = 0
-		case !gate.thin(now, hash) || usage.thinned:
+		case !gate.mayStart(now, hash) || usage.throttled:
 			allowances[usage.organisation] = max(usage.credit, 0)
 		}
 	}
 	return allowances
 }
 
-// share returns what a request's organisation is judged by.
+// share returns the usage that a request's organisation is judged by.
 func (gate *Gate) share(now time.Time, request *Request) Share {
 	organisation := hashOf(string(request.Organisation))
 	return Share{
-		Asked: gate.shares.usage(organisation).asked.now(now) + gate.shares.others[organisation].asked,
-		Given: gate.given(now, organisation), Level: gate.shares.level, Cap: gate.shares.cap,
+		Asked: gate.shares.usage(organisation).demand.now(now) + gate.shares.others[organisation].demand,
+		Given: gate.served(now, organisation), Level: gate.shares.level, Cap: gate.shares.cap,
 	}
 }
 
-// capGuard is how many times its cap an organisation may have been given before
-// all that it asks is refused. Thinning holds it near the cap by itself; this is
-// for the second until the sums show that it began to flood.
-const capGuard = 1.2
+// maxCapOverrun is how many times its cap an organisation may have been served before all
+// its requests are refused. Throttling keeps it near the cap; this bound is for the
+// second until the sums show that it has begun to flood.
+const maxCapOverrun = 1.2
 
-// thin says whether an organisation that asks for more than its cap may begin one
-// more request here. Each daemon admits the same part of what it is asked for, so
-// all together keep to the cap. Going by what was given alone, which is known a
-// second late, it was let in whole and shut out whole by turns of some seconds:
-// those shut out came back too late for their objective.
-func (gate *Gate) thin(now time.Time, organisation uint32) bool {
+// mayStart reports whether an organisation may start another request here under its cap.
+// If its demand exceeds the cap, each daemon admits the same part of its own demand, so
+// that all together keep to the cap. Limiting by served tokens alone, which are known a
+// second late, admitted all of the demand and rejected all of it by turns of some
+// seconds, and the rejected callers came back too late for their objective.
+func (gate *Gate) mayStart(now time.Time, organisation uint32) bool {
 	usage := gate.shares.usage(organisation)
-	own := usage.asked.now(now)
-	asked := own + gate.shares.others[organisation].asked
-	if asked <= gate.shares.cap {
-		usage.thinned = false
+	own := usage.demand.now(now)
+	demand := own + gate.shares.others[organisation].demand
+	if demand <= gate.shares.cap {
+		usage.throttled = false
 		return true
 	}
-	return usage.thin(now, own*gate.shares.cap/asked)
+	return usage.throttle(now, own*gate.shares.cap/demand)
 }
 
-// limit returns the expected milliseconds up to which a request is sent.
-func (gate *Gate) limit(now time.Time, request *Request, over float64) float64 {
-	left := millis(request.Arrived.Add(request.Objective).Sub(now))
-	if math.IsInf(over, 1) {
+// limitMillis returns the longest expected time to first byte at which a request is sent.
+func (gate *Gate) limitMillis(now time.Time, request *Request, overuse float64) float64 {
+	remaining := millis(request.Arrived.Add(request.Objective).Sub(now))
+	if math.IsInf(overuse, 1) {
 		return 0
 	}
-	factor := max(headroom*math.Pow(over, -overPower), overLeast)
-	return left * factor
+	factor := max(maxObjectiveShare*math.Pow(overuse, -overuseExponent), minObjectiveShare)
+	return remaining * factor
 }
--- a/core/berylgate/doc.go
+++ b/core/berylgate/doc.go
@@ -1,18 +1,19 @@
-// Package berylgate decides for each request whether it is sent to a target
-// now, to which, or refused.
+// Package berylgate decides for each request whether to send it to a target now, and to
+// which one, or to refuse it.
 //
-// The model: engines serve in order of arrival and know no priorities, so what
-// is sent to an engine is final. The gate of each daemon keeps an estimate of
-// the work that lies before every target: its own dispatches at once, those of
-// the other daemons from their reports, corrected by the time to the first
-// token that its own requests see. A request is sent where it costs least, which
-// counts the queue, the part of its prompt that the engine lacks, and the way
-// there. It is sent only if its first token is then expected within the part of
-// its objective that its organisation may use; otherwise it is refused at once,
-// truthfully, as no target has seen it.
+// Engines serve requests in order of arrival and have no priorities, so a request that
+// was sent to an engine can be neither reordered nor recalled. The gate of each daemon
+// estimates the work queued at every target: its own dispatches count at once, those of
+// other daemons when they are reported, and the time to first token that its own requests
+// observe corrects the estimate. A request goes to the target with the lowest cost, which
+// covers the queue, the prefill of the part of its prompt that the engine has not cached,
+// and the network latency. It is sent only if its first token is then expected within the
+// part of its objective that its organisation may use. Otherwise it is refused at once,
+// and the caller can rely on the statement that it did not run, as no target has received
+// it.
 //
-// Organisations that received less than their max-min share may use nearly the
-// whole objective, others the less of it the further they are beyond. So the
-// queues before the engines stay short enough for those who are owed service,
-// and capacity that they leave is still used.
+// Organisations that were served less than their max-min share may use nearly the whole
+// objective, others the less of it the further they are beyond their share. This keeps
+// queues short enough for organisations that are below their share, while capacity that
+// they leave unused serves others.
 package berylgate
--- a/core/berylgate/dump.go
+++ b/core/berylgate/dump.go
@@ -1,6 +1,6 @@
 package berylgate
 
-// This file defines the dump of a gate.
+// This file defines the dump of a gate's state.
 
 import (
 	"math"
@@ -16,15 +16,15 @@
 	Targets []TargetDump `json:"targets"`
 }
 
-// TargetDump is what a gate believes of one target.
+// TargetDump is the state that a gate keeps of one target.
 type TargetDump struct {
 	ID            berylspoke.TargetID  `json:"id"`
 	Service       berylspoke.ServiceID `json:"service"`
-	Leaving       bool                 `json:"leaving"`
+	Draining      bool                 `json:"leaving"`
 	BacklogMillis float64              `json:"backlogMillis"`
-	Pace          float64              `json:"pace"`
+	Slowdown      float64              `json:"pace"`
 	Running       int                  `json:"running"`
-	Others        int                  `json:"others"`
+	OthersRunning int                  `json:"others"`
 	ErrorRate     float64              `json:"errorRate"`
 	Suspect       bool                 `json:"suspect"`
 	Paused        bool                 `json:"paused"`
@@ -32,16 +32,16 @@
 
 // Dump returns the state of the gate.
 func (gate *Gate) Dump(now time.Time) Dump {
-	dump := Dump{Daemons: gate.daemons, Level: gate.shares.level}
+	dump := Dump{Daemons: gate.maxDaemons, Level: gate.shares.level}
 	if math.IsInf(dump.Level, 1) {
 		dump.Level = -1
 	}
 	for _, target := range gate.sorted {
 		target.drain(now)
 		dump.Targets = append(dump.Targets, TargetDump{
-			ID: target.ID, Service: target.Service, Leaving: target.Leaving, BacklogMillis: target.backlog,
-			Pace: target.pace, Running: target.running, Others: target.others.running,
-			ErrorRate: target.errors, Suspect: target.suspect, Paused: now.Before(target.paused),
+			ID: target.ID, Service: target.Service, Draining: target.Leaving, BacklogMillis: target.backlogMillis,
+			Slowdown: target.slowdown, Running: target.running, OthersRunning: target.others.running,
+			ErrorRate: target.errorRate, Suspect: target.suspect, Paused: now.Before(target.pausedUntil),
 		})
 	}
 	return dump
--- a/core/berylgate/gate.go
+++ b/core/berylgate/gate.go
@@ -1,6 +1,6 @@
 package berylgate
 
-// This file defines the gate and what moves its state.
+// This file defines the gate and the events that change its state.
 
 import (
 	"maps"
@@ -17,12 +17,12 @@
 type Options struct {
 	VM          berylspoke.VMID
 	Incarnation berylspoke.Incarnation
-	// FailureDomain is where this daemon stands; RegionOf maps failure domains to
-	// their regions.
+	// FailureDomain is the failure domain of this daemon; RegionOf maps failure domains
+	// to their regions.
 	FailureDomain berylspoke.FailureDomain
 	RegionOf      map[berylspoke.FailureDomain]berylspoke.Region
-	// RetryRatio and RetrySlack bound the sends beyond the first of each request
-	// over all daemons: a part of the requests, and a number.
+	// RetryRatio and RetrySlack bound the retries of all daemons together: RetryRatio
+	// times the number of requests, plus RetrySlack.
 	RetryRatio, RetrySlack float64
 }
 
@@ -33,188 +33,196 @@
 	Organisation berylspoke.OrganisationID
 	Kind         berylspoke.Kind
 	Arrived      time.Time
-	// Objective is the time to the first byte within which the answer counts.
+	// Objective is the time to first byte within which the answer counts.
 	Objective time.Duration
 	Deadline  time.Time
-	// Attempts bounds the targets that the request may be sent to.
+	// The number of targets that the request may be sent to.
 	Attempts      int
 	Input, Output berylspoke.Tokens
-	Parts         []berylspoke.Part
-	// Regions are those whose targets may serve the request.
+	// The segments of the prompt in order; the last is the request's own.
+	Parts []berylspoke.Part
+	// Regions are the regions whose targets may serve the request.
 	Regions berylspoke.Regions
-	// sends counts the targets that may have received the request; tried are
-	// those that it must not be sent to again.
+	// sends counts the targets that may have received the request; tried holds those that
+	// it must not be sent to again.
 	sends int
 	tried map[berylspoke.TargetID]bool
-	live  *attempt
-	// reserved is set once a retry was set aside for it.
-	reserved bool
+	// current is the attempt in progress, nil if there is none.
+	current *attempt
+	// retryReserved is set once a retry was reserved for the request.
+	retryReserved bool
 }
 
-// attempt is one request at one target.
+// attempt is one dispatch of a request to a target.
 type attempt struct {
-	request  *Request
-	target   *target
-	sent     time.Time
-	expected float64
-	queue    float64
-	added    float64
-	memory   berylspoke.Tokens
-	began    bool
+	request        *Request
+	target         *target
+	sentAt         time.Time
+	expectedMillis float64
+	// queueMillis is the work queued at the target when the request was sent, addedMillis
+	// the work that the request added.
+	queueMillis   float64
+	addedMillis   float64
+	kvTokens      berylspoke.Tokens
+	answerStarted bool
 }
 
-// pool is the targets and the retry budget of one service.
+// pool holds the targets and the retry budget of one service.
 type pool struct {
-	declared berylspoke.Service
-	targets  []*target
-	budget   *berylroute.Budget
-	// pace is the mean pace of the service's targets.
-	pace float64
+	service berylspoke.Service
+	targets []*target
+	budget  *berylroute.Budget
+	// meanSlowdown is the mean slowdown of the service's targets.
+	meanSlowdown float64
 }
 
-// Gate is the state of one daemon's decisions.
+// Gate is the state that one daemon decides by.
 type Gate struct {
-	options  Options
+	options Options
+	// capacity is the throughput to share in tokens per second, zero if none is declared.
 	capacity berylspoke.Tokens
-	services map[berylspoke.ServiceID]*pool
+	pools    map[berylspoke.ServiceID]*pool
 	targets  map[berylspoke.TargetID]*target
-	// sorted are the targets in the order of their ids. Whatever is summed up or
-	// reported goes by it, so equal inputs give equal decisions.
+	// sorted lists the targets by id. Sums and reports follow its order, so that equal
+	// inputs give equal decisions.
 	sorted []*target
-	hashes map[uint32]*target
+	byHash map[uint32]*target
 	shares *shares
 	peers  []*peer
-	// collected is what a large fleet sums up of organisations.
-	collected collected
-	// live are the daemons known to be alive, daemons the most that ever were.
-	live, daemons int
-	// domains says where the live daemons stand.
-	domains map[berylspoke.VMID]berylspoke.FailureDomain
-	random  *rand.Rand
-	ticked  time.Time
-	// reported is when the last report was made, urgent whether a dispatch since then
-	// must not wait for the next one.
-	reported time.Time
-	urgent   bool
+	// collected is the usage of organisations that peers reported, for a large fleet.
+	collected collectedUsage
+	// live is the number of daemons known to be alive, maxDaemons the highest number ever
+	// known.
+	live, maxDaemons int
+	// domains maps the live daemons to their failure domains.
+	domains  map[berylspoke.VMID]berylspoke.FailureDomain
+	rng      *rand.Rand
+	lastTick time.Time
+	// lastReport is when the last report was made; urgent says that a dispatch since then
+	// should be reported at once.
+	lastReport time.Time
+	urgent     bool
 }
 
-// New returns a gate that knows no targets.
+// New returns a gate without targets.
 func New(options Options) *Gate {
 	return &Gate{
-		options:   options,
-		services:  make(map[berylspoke.ServiceID]*pool),
-		targets:   make(map[berylspoke.TargetID]*target),
-		hashes:    make(map[uint32]*target),
-		shares:    newShares(),
-		collected: newCollected(),
-		daemons:   leastDaemons,
-		random:    rand.New(rand.NewPCG(uint64(options.Incarnation), 0)),
+		options:    options,
+		pools:      make(map[berylspoke.ServiceID]*pool),
+		targets:    make(map[berylspoke.TargetID]*target),
+		byHash:     make(map[uint32]*target),
+		shares:     newShares(),
+		collected:  newCollected(),
+		maxDaemons: minDaemons,
+		rng:        rand.New(rand.NewPCG(uint64(options.Incarnation), 0)),
 	}
 }
 
-// leastDaemons is how many daemons the retry budget is divided between before
-// the members are known; the smallest deployments have eight.
-const leastDaemons = 8
+// minDaemons is the number of daemons that the retry budget is divided between before the
+// members are known; the smallest deployments have eight.
+const minDaemons = 8
 
-// SetDaemons tells how many daemons are alive. Bounds that all share are divided
-// by the most that were ever known: the missing ones may only be out of reach.
+// SetDaemons sets the number of live daemons. Bounds that hold over all daemons are
+// divided by the highest number ever known, because missing daemons may only be
+// unreachable.
 func (gate *Gate) SetDaemons(now time.Time, live int) {
 	gate.live = live
-	if live <= gate.daemons {
+	if live <= gate.maxDaemons {
 		return
 	}
-	gate.daemons = live
-	for _, pool := range gate.services {
+	gate.maxDaemons = live
+	for _, pool := range gate.pools {
 		pool.budget = gate.newBudget(now, pool.budget.Left(now))
 	}
 }
 
-// newBudget returns a service's retry budget. Its bound holds over all daemons
-// together although they do not speak about it: each may save up its part of
-// the slack, and a daemon that starts has saved nothing, so restarts give none.
-func (gate *Gate) newBudget(now time.Time, level float64) *berylroute.Budget {
-	const reserve = 0.7
-	most := reserve * gate.options.RetrySlack / float64(max(gate.daemons, leastDaemons))
-	budget := berylroute.NewBudget(now, 0, most)
-	budget.Charge(now, max(most-level, 0))
+// newBudget returns a service's retry budget that holds the given units. Its bound holds
+// over all daemons together although they exchange nothing about it: each may save up its
+// part of the slack, and a daemon that starts has saved nothing, so that restarts add no
+// retries.
+func (gate *Gate) newBudget(now time.Time, saved float64) *berylroute.Budget {
+	const slackShare = 0.7
+	capacity := slackShare * gate.options.RetrySlack / float64(max(gate.maxDaemons, minDaemons))
+	budget := berylroute.NewBudget(now, 0, capacity)
+	budget.Charge(now, max(capacity-saved, 0))
 	return budget
 }
 
-// SetCatalog takes the declared services and the throughput to share.
+// SetCatalog sets the declared services and the throughput to share.
 func (gate *Gate) SetCatalog(now time.Time, catalog *berylspoke.Catalog) {
 	gate.capacity = catalog.Limits.TokensPerSecond
-	services := make(map[berylspoke.ServiceID]*pool, len(catalog.Services))
+	pools := make(map[berylspoke.ServiceID]*pool, len(catalog.Services))
 	for id, declared := range catalog.Services {
-		kept := gate.services[id]
-		if kept == nil {
-			kept = &pool{budget: gate.newBudget(now, 0), pace: 1}
+		known := gate.pools[id]
+		if known == nil {
+			known = &pool{budget: gate.newBudget(now, 0), meanSlowdown: 1}
 		}
-		kept.declared = declared
-		services[id] = kept
+		known.service = declared
+		pools[id] = known
 	}
-	gate.services = services
-	gate.arrange()
+	gate.pools = pools
+	gate.indexTargets()
 }
 
-// SetTargets takes the targets that are published now. What is known of a
-// target stays unless it started anew.
+// SetTargets sets the targets that are published now. The state of a known target is kept
+// unless the target was restarted or changed its address or service.
 func (gate *Gate) SetTargets(now time.Time, declared []berylspoke.Target) {
 	targets := make(map[berylspoke.TargetID]*target, len(declared))
 	for _, item := range declared {
-		kept := gate.targets[item.ID]
-		if kept == nil || kept.Born != item.Born || kept.Address != item.Address || kept.Service != item.Service {
-			kept = newTarget(now, item)
-			kept.ColdFor = 0
+		known := gate.targets[item.ID]
+		if known == nil || known.Born != item.Born || known.Address != item.Address || known.Service != item.Service {
+			known = newTarget(now, item)
+			known.ColdFor = 0
 		}
-		coldBefore := kept.ColdFor
-		kept.Target = item
-		gate.heardCold(now, kept, coldBefore)
-		kept.scope = gate.distance(gate.options.FailureDomain, item.FailureDomain)
-		if kept.way == 0 {
-			kept.way = nearWay
-			if kept.scope == acrossRegions {
-				kept.way = farWay
+		coldBefore := known.ColdFor
+		known.Target = item
+		gate.updateCold(now, known, coldBefore)
+		known.scope = gate.scopeBetween(gate.options.FailureDomain, item.FailureDomain)
+		if known.latencyMillis == 0 {
+			known.latencyMillis = sameRegionLatencyMillis
+			if known.scope == fleetScope {
+				known.latencyMillis = crossRegionLatencyMillis
 			}
 		}
-		targets[item.ID] = kept
+		targets[item.ID] = known
 	}
 	gate.targets = targets
-	gate.arrange()
+	gate.indexTargets()
 }
 
-// distance says how far apart two failure domains are.
-func (gate *Gate) distance(one, other berylspoke.FailureDomain) scope {
+// scopeBetween returns the smallest scope that contains both failure domains.
+func (gate *Gate) scopeBetween(one, other berylspoke.FailureDomain) scope {
 	switch {
 	case one == other:
-		return withinDomain
+		return domainScope
 	case gate.options.RegionOf[one] == gate.options.RegionOf[other]:
-		return acrossDomains
+		return regionScope
 	default:
-		return acrossRegions
+		return fleetScope
 	}
 }
 
-// allows says whether a target stands in one of some regions.
+// allows reports whether a target is in one of the given regions.
 func (gate *Gate) allows(regions berylspoke.Regions, target *target) bool {
 	return regions.Allow(gate.options.RegionOf[target.FailureDomain])
 }
 
-// arrange derives the targets of each service and what is looked up.
-func (gate *Gate) arrange() {
-	gate.hashes = make(map[uint32]*target, len(gate.targets))
-	for _, pool := range gate.services {
+// indexTargets derives the targets of each service and the lookup tables.
+func (gate *Gate) indexTargets() {
+	gate.byHash = make(map[uint32]*target, len(gate.targets))
+	for _, pool := range gate.pools {
 		pool.targets = nil
 	}
 	gate.sorted = slices.SortedFunc(maps.Values(gate.targets), func(one, other *target) int {
 		return strings.Compare(string(one.ID), string(other.ID))
 	})
 	for _, target := range gate.sorted {
-		gate.hashes[target.hash] = target
-		pool := gate.services[target.Service]
+		gate.byHash[target.hash] = target
+		pool := gate.pools[target.Service]
 		if pool == nil {
 			continue
 		}
-		target.engine, target.slots, target.usual = pool.declared.Engine, target.Slots, &pool.pace
+		target.engine, target.slots, target.meanSlowdown = pool.service.Engine, target.Slots, &pool.meanSlowdown
 		if target.engine != nil && target.slots == 0 {
 			target.slots = target.engine.Slots
 		}
@@ -222,73 +230,75 @@
 	}
 }
 
-// Rejected counts the tokens of requests that this daemon rejected, by organisation,
-// as the processor of its VM is overloaded.
+// Rejected counts the tokens, by organisation, of requests that this daemon rejected
+// because the processor of its VM is overloaded.
 func (gate *Gate) Rejected(now time.Time, rejected map[berylspoke.OrganisationID]berylspoke.Tokens) {
 	for organisation, tokens := range rejected {
-		elsewhere := gate.shares.others[hashOf(string(organisation))].asked
-		gate.shares.usageOf(organisation).reject(now, tokens, elsewhere)
+		elsewhere := gate.shares.others[hashOf(string(organisation))].demand
+		gate.shares.usageOf(organisation).addRejected(now, tokens, elsewhere)
 	}
 }
 
-// RejectedOverCap counts the tokens of requests that this daemon rejected, by
-// organisation, for want of an allowance.
+// RejectedOverCap counts the tokens, by organisation, of requests that this daemon
+// rejected because their organisation has no allowance.
 func (gate *Gate) RejectedOverCap(now time.Time, rejected map[berylspoke.OrganisationID]berylspoke.Tokens) {
 	for organisation, tokens := range rejected {
-		gate.shares.usageOf(organisation).ask(now, tokens)
+		gate.shares.usageOf(organisation).addDemand(now, tokens)
 	}
 }
 
-// Sampled says whether the fleet is so large that reports need not be frequent.
-func (gate *Gate) Sampled() bool { return gate.sampled() }
+// Sampled reports whether the fleet is so large that reports need not be frequent.
+func (gate *Gate) Sampled() bool { return gate.largeFleet() }
 
-// connections returns how many connections this daemon may hold to a target. An
-// equal part of the declared bound is always its own. Callers of one hot
-// organisation may all come to one daemon, so it may take more while the others
-// use less; what is admitted at all is bounded by the target's slots.
+// connections returns how many connections this daemon may hold to a target. An equal
+// part of the declared bound is always its own. All callers of a busy organisation may
+// connect to one daemon, so it may use more while the others use less; the target's slots
+// bound what is admitted in any case.
 func (gate *Gate) connections(target *target) int {
-	const common = 0.6
-	pool := gate.services[target.Service]
+	const maxShare = 0.6
+	pool := gate.pools[target.Service]
 	if pool == nil {
 		return 1
 	}
-	most := pool.declared.MaxConnections
-	own := most / max(gate.daemons, 1)
-	return max(1, own, int(common*float64(most))-target.others.running)
+	bound := pool.service.MaxConnections
+	own := bound / max(gate.maxDaemons, 1)
+	return max(1, own, int(maxShare*float64(bound))-target.others.running)
 }
 
-// Tick looks for targets that went silent and drops what is out of date.
+// Tick updates the estimates of all targets, marks silent targets suspect and drops
+// expired state.
 func (gate *Gate) Tick(now time.Time) {
-	elapsed := now.Sub(gate.ticked)
-	gate.ticked = now
+	elapsed := now.Sub(gate.lastTick)
+	gate.lastTick = now
 	for _, target := range gate.sorted {
-		target.settleInflow(elapsed)
-		target.watch(now)
-		target.forget(now)
+		target.updateInflow(elapsed)
+		target.checkSilence(now)
+		target.expireCached(now)
 	}
 	gate.sumOthers(now)
 }
 
-// TimedWay takes the time that a connection to a target took to open.
+// TimedWay updates the network latency of a target with the time that a connection took
+// to open.
 func (gate *Gate) TimedWay(id berylspoke.TargetID, taken time.Duration) {
 	const weight = 0.2
 	if target := gate.targets[id]; target != nil {
-		target.way += weight * (millis(taken) - target.way)
+		target.latencyMillis += weight * (millis(taken) - target.latencyMillis)
 	}
 }
 
-// start notes that a request goes to a target now.
-func (gate *Gate) start(now time.Time, request *Request, candidate candidate, prompt prompt) {
+// startAttempt records that a request is sent to a target now.
+func (gate *Gate) startAttempt(now time.Time, request *Request, candidate candidate, prompt prompt) {
 	target := candidate.target
 	attempt := &attempt{
-		request: request, target: target, sent: now,
-		expected: candidate.expected, queue: target.backlog, added: candidate.added,
-		memory: request.Input + request.Output,
+		request: request, target: target, sentAt: now,
+		expectedMillis: candidate.expectedMillis, queueMillis: target.backlogMillis, addedMillis: candidate.addedMillis,
+		kvTokens: request.Input + request.Output,
 	}
 	target.attempts[attempt] = true
 	target.running++
-	target.sendCold(now)
-	request.live = attempt
+	target.chargeCold(now)
+	request.current = attempt
 	request.sends++
 	if request.tried == nil {
 		request.tried = make(map[berylspoke.TargetID]bool)
@@ -297,58 +307,60 @@
 	if target.engine == nil {
 		return
 	}
-	target.tokens += attempt.memory
+	target.kvTokens += attempt.kvTokens
 	target.drain(now)
-	target.backlog += attempt.added
-	target.pending += attempt.added
-	target.sentWork += attempt.added
-	gate.urgent = gate.urgent || attempt.added > urgentWork
+	target.backlogMillis += attempt.addedMillis
+	target.pendingMillis += attempt.addedMillis
+	target.sentMillis += attempt.addedMillis
+	gate.urgent = gate.urgent || attempt.addedMillis > urgentMillis
 	const meanWeight = 0.05
-	target.meanAdded += meanWeight * (attempt.added - target.meanAdded)
-	target.hold(now, prompt.shared)
+	target.meanRequestMillis += meanWeight * (attempt.addedMillis - target.meanRequestMillis)
+	target.recordCached(now, prompt.shared)
 }
 
-// Began notes the first byte of an answer.
-func (gate *Gate) Began(now time.Time, request *Request, told *berylspoke.EngineLoad) {
-	attempt := request.live
-	if attempt == nil || attempt.began {
+// Began records the first byte of an answer and the load that the target reported with
+// it, nil if none.
+func (gate *Gate) Began(now time.Time, request *Request, reported *berylspoke.EngineLoad) {
+	attempt := request.current
+	if attempt == nil || attempt.answerStarted {
 		return
 	}
 	target := attempt.target
-	target.begun(attempt)
-	target.worked(now)
+	target.markAnswerStarted(attempt)
+	target.recordSuccess(now)
 	if target.engine == nil {
 		return
 	}
-	seen := millis(now.Sub(attempt.sent))
-	gate.observe(now, attempt, seen)
+	observedMillis := millis(now.Sub(attempt.sentAt))
+	gate.correctEstimate(now, attempt, observedMillis)
 	switch {
-	case told == nil:
-	case gate.sampled():
-		target.toldHere = load{now, told.Running, told.Waiting}
-		target.tell(now, target.toldHere)
-		target.slots = told.Slots
+	case reported == nil:
+	case gate.largeFleet():
+		target.directLoad = load{now, reported.Running, reported.Waiting}
+		target.adoptLoad(now, target.directLoad)
+		target.slots = reported.Slots
 	default:
-		target.loaded(now, *told)
+		target.observeLoad(now, *reported)
 	}
 }
 
-// observe corrects the estimate of a target by the time that one request took
-// to its first token: the queue by what it waited beyond the model, and the
-// pace of the target by the ratio of the two.
-func (gate *Gate) observe(now time.Time, attempt *attempt, seen float64) {
+// correctEstimate corrects the estimate of a target by one request's time to first token:
+// the queue by the difference between the observed and the expected time, the slowdown by
+// their ratio.
+func (gate *Gate) correctEstimate(now time.Time, attempt *attempt, observedMillis float64) {
 	target := attempt.target
 	target.drain(now)
-	ratio := max(seen-target.way, 1) / max(attempt.expected-target.way, 1)
-	if attempt.queue > attempt.added+firstToken {
-		// Behind a long queue the error is that of the queue, not of the target.
+	ratio := max(observedMillis-target.latencyMillis, 1) / max(attempt.expectedMillis-target.latencyMillis, 1)
+	if attempt.queueMillis > attempt.addedMillis+firstTokenMillis {
+		// Behind a long queue the error is that of the queue estimate, not of the
+		// slowdown.
 		ratio = 1
 	}
 	factor := min(ratio, 3) - 1
-	target.pace = min(max(target.pace*(1+paceWeight*factor), paceLeast), paceMost)
-	if target.usual != nil {
-		*target.usual = min(max(*target.usual*(1+usualWeight*factor), paceLeast), usualMost)
+	target.slowdown = min(max(target.slowdown*(1+slowdownWeight*factor), minSlowdown), maxSlowdown)
+	if target.meanSlowdown != nil {
+		*target.meanSlowdown = min(max(*target.meanSlowdown*(1+meanSlowdownWeight*factor), minSlowdown), maxMeanSlowdown)
 	}
-	excess := (seen - attempt.expected) / target.pace
-	target.backlog = max(0, target.backlog+observerGain*min(excess, attempt.queue+attempt.added))
+	excessMillis := (observedMillis - attempt.expectedMillis) / target.slowdown
+	target.backlogMillis = max(0, target.backlogMillis+queueGain*min(excessMillis, attempt.queueMillis+attempt.addedMillis))
 }
--- a/core/berylgate/model.go
+++ b/core/berylgate/model.go
@@ -1,6 +1,6 @@
 package berylgate
 
-// This file defines the model of a model engine's time to first token.
+// This file models an engine's time to first token.
 
 import (
 	"time"
@@ -9,31 +9,31 @@
 )
 
 const (
-	// prefillRate is the number of prompt tokens that an engine reads in a
-	// millisecond between the steps of its running requests. The pace of each target,
-	// learnt from its answers, corrects the difference.
-	prefillRate = 110.0
-	// attentionCost is the time in milliseconds for a million pairs of tokens.
-	attentionCost = 0.3
-	// firstToken is the time in milliseconds from the end of the prefill to the
-	// first event on an idle engine.
-	firstToken = 53.0
-	// tokensRead and tokensMade weigh a token read and one generated in an
-	// organisation's share, as the declared throughput counts them.
-	tokensRead, tokensMade = 1, 2
+	// prefillTokensPerMillis is the number of prompt tokens that an engine prefills in a
+	// millisecond between the decode steps of its running requests. The slowdown of each
+	// target, learnt from its answers, corrects the difference.
+	prefillTokensPerMillis = 110.0
+	// attentionMillis is the time of attention for a million pairs of tokens.
+	attentionMillis = 0.3
+	// firstTokenMillis is the time from the end of the prefill to the first event on an
+	// idle engine.
+	firstTokenMillis = 53.0
+	// inputWeight and outputWeight are the weights of a prompt token and a generated
+	// token in an organisation's usage, as the declared throughput counts them.
+	inputWeight, outputWeight = 1, 2
 )
 
-// work returns the milliseconds of prefill for a prompt of which the engine
-// keeps the first cached tokens.
-func work(input, cached berylspoke.Tokens) float64 {
-	lacking := float64(max(input-cached, 0))
+// prefillMillis returns the prefill time of a prompt whose first cached tokens are in the
+// engine's KV cache.
+func prefillMillis(input, cached berylspoke.Tokens) float64 {
+	uncached := float64(max(input-cached, 0))
 	const million = 1e6
-	pairs := lacking * (float64(cached) + lacking/2) / million
-	return lacking/prefillRate + pairs*attentionCost
+	pairs := uncached * (float64(cached) + uncached/2) / million
+	return uncached/prefillTokensPerMillis + pairs*attentionMillis
 }
 
-// millis converts a duration.
+// millis converts a duration to milliseconds.
 func millis(duration time.Duration) float64 { return float64(duration) / float64(time.Millisecond) }
 
-// duration converts milliseconds.
+// duration converts milliseconds to a duration.
 func duration(millis float64) time.Duration { return time.Duration(millis * float64(time.Millisecond)) }
--- a/core/berylgate/outcome.go
+++ b/core/berylgate/outcome.go
@@ -1,6 +1,6 @@
 package berylgate
 
-// This file defines how attempts end and what that says of their targets.
+// This file defines how attempts end and how that changes the state of their targets.
 
 import (
 	"time"
@@ -11,78 +11,79 @@
 
 // The outcomes of an attempt.
 const (
-	// Succeeded answers came whole.
+	// Succeeded means that the whole answer was received.
 	Succeeded Outcome = iota
-	// Turned says that the target did not run the request.
+	// Turned means that the target rejected the request without running it.
 	Turned
-	// Unreached says that no connection was made, so nothing was sent.
+	// Unreached means that no connection was made, so nothing was sent.
 	Unreached
-	// Crowded says that all connections to the target are in use.
+	// Crowded means that all connections to the target were in use, or that the request
+	// was no longer wanted once one was available. Nothing was sent.
 	Crowded
-	// Broken answers were cut, garbled or never came.
+	// Broken means that the answer was truncated or malformed, or never came.
 	Broken
-	// Erred answers came whole and say that the target failed.
+	// Erred means that a whole answer reported a failure of the target.
 	Erred
-	// Abandoned attempts were ended by the caller or by its time limit.
+	// Abandoned means that the caller or its time limit ended the attempt.
 	Abandoned
 	// Outcomes is the number of outcomes.
 	Outcomes
 )
 
-// String returns the outcome as logged.
+// String returns the outcome as it appears in logs and metrics.
 func (outcome Outcome) String() string {
 	return [...]string{"succeeded", "turned", "unreached", "crowded", "broken", "erred", "abandoned"}[outcome]
 }
 
-// Ended notes the end of the live attempt of a request.
+// Ended records the end of a request's current attempt.
 func (gate *Gate) Ended(now time.Time, request *Request, outcome Outcome) {
-	attempt := request.live
+	attempt := request.current
 	if attempt == nil {
 		return
 	}
-	request.live = nil
+	request.current = nil
 	target := attempt.target
 	delete(target.attempts, attempt)
-	target.begun(attempt)
+	target.markAnswerStarted(attempt)
 	target.running--
 	if target.engine != nil {
-		target.tokens -= attempt.memory
+		target.kvTokens -= attempt.kvTokens
 	}
-	gate.judge(now, attempt, outcome)
+	gate.applyOutcome(now, attempt, outcome)
 	if outcome == Unreached || outcome == Crowded || outcome == Turned {
-		gate.unsend(now, attempt, outcome)
+		gate.undoSend(now, attempt, outcome)
 	}
 }
 
-// judge takes what an outcome says of the target.
-func (gate *Gate) judge(now time.Time, attempt *attempt, outcome Outcome) {
+// applyOutcome updates the state of a target by the outcome of an attempt.
+func (gate *Gate) applyOutcome(now time.Time, attempt *attempt, outcome Outcome) {
 	target := attempt.target
 	switch outcome {
 	case Succeeded:
-		target.worked(now)
+		target.recordSuccess(now)
 		if target.engine == nil {
 			const weight = 0.1
-			target.mean += weight * (millis(now.Sub(attempt.sent)) - target.way - target.mean)
-			target.mean = max(target.mean, 1)
+			target.meanMillis += weight * (millis(now.Sub(attempt.sentAt)) - target.latencyMillis - target.meanMillis)
+			target.meanMillis = max(target.meanMillis, 1)
 		}
 	case Unreached:
-		target.failed(now)
+		target.recordFailure(now)
 		gate.maybeRestarted(now, target)
 	case Broken:
-		target.failed(now)
+		target.recordFailure(now)
 	case Erred:
-		target.heard = now
-		target.errors += errorWeight * (1 - target.errors)
+		target.lastAnswer = now
+		target.errorRate += errorWeight * (1 - target.errorRate)
 	case Turned:
-		target.heard = now
+		target.lastAnswer = now
 	}
 }
 
-// unsend takes back the work of a request that the target did not run. An
-// engine that turns a request away is full whatever the model says, so the
-// estimate of its queue rises by a step.
-func (gate *Gate) unsend(now time.Time, attempt *attempt, outcome Outcome) {
-	const step = 60.0
+// undoSend removes the work of a request that the target did not run. An engine that
+// rejects a request is full whatever the model says, so the estimate of its queue rises
+// by a step.
+func (gate *Gate) undoSend(now time.Time, attempt *attempt, outcome Outcome) {
+	const stepMillis = 60.0
 	target := attempt.target
 	if outcome != Turned {
 		attempt.request.sends--
@@ -90,10 +91,10 @@
 	if target.engine == nil {
 		return
 	}
-	gate.shares.usage(hashOf(string(attempt.request.Organisation))).given.add(now, -TokensOf(attempt.request))
+	gate.shares.usage(hashOf(string(attempt.request.Organisation))).served.add(now, -TokensOf(attempt.request))
 	target.drain(now)
-	target.backlog = max(0, target.backlog-attempt.added)
+	target.backlogMillis = max(0, target.backlogMillis-attempt.addedMillis)
 	if outcome == Turned {
-		target.backlog += step
+		target.backlogMillis += stepMillis
 	}
 }
--- a/core/berylgate/parts.go
+++ b/core/berylgate/parts.go
@@ -1,7 +1,7 @@
 package berylgate
 
-// This file defines which targets are believed to keep which shared parts of
-// prompts, and from which of them another target fetches them.
+// This file estimates which shared prefix segments are in the KV cache of which target,
+// and chooses from which of them another target fetches them.
 
 import (
 	"time"
@@ -12,62 +12,63 @@
 )
 
 const (
-	// homesBeyond is the shared tokens from which on a prompt has one home in
-	// the fleet and not one in each region: reading them again costs more than
-	// the way to the other region.
-	homesBeyond berylspoke.Tokens = 1000
-	// homesAcross is the same for one home in a region and not in each failure
-	// domain. What a revision of 200 shared tokens and its answer of 4 KB cost
-	// between domains is more than the reading of the 200 tokens three times.
-	homesAcross berylspoke.Tokens = 300
-	// fetchLeast is the shared tokens that a target lacks from which on it fetches
-	// them: setting up a transfer takes about as long as reading so many. fetchFar is
-	// the same for a source in another region, whose answer takes a round trip.
-	fetchLeast berylspoke.Tokens = 64
-	fetchFar   berylspoke.Tokens = 2000
+	// minFleetHomeTokens is the number of shared tokens from which a prompt has one home
+	// in the fleet instead of one in each region: computing them again costs more than
+	// the network latency to the other region.
+	minFleetHomeTokens berylspoke.Tokens = 1000
+	// minRegionHomeTokens is the same for one home in a region instead of one in each
+	// failure domain. The traffic between domains of a request with 200 shared tokens and
+	// a 4 KB answer costs more than three prefills of the 200 tokens.
+	minRegionHomeTokens berylspoke.Tokens = 300
+	// minFetchTokens is the number of uncached shared tokens from which a target fetches
+	// them: setting up a transfer takes about as long as the prefill of that many.
+	// minCrossRegionFetchTokens is the same for a source in another region, whose answer
+	// takes a round trip.
+	minFetchTokens            berylspoke.Tokens = 64
+	minCrossRegionFetchTokens berylspoke.Tokens = 2000
 )
 
-// prompt is what of a request's prompt other prompts begin with too.
+// prompt describes the prefix that a request's prompt shares with others.
 type prompt struct {
 	shared []berylspoke.Part
 	total  berylspoke.Tokens
 	// regions are those in which the request may be served.
 	regions berylspoke.Regions
-	// home is the target that requests with the same shared parts prefer, nil if
-	// there is none, and homes the ones of each scope.
+	// home is the target that requests with the same shared segments prefer, nil if there
+	// is none; homes holds the preferred target of each scope.
 	home  *target
-	homes [scopes]*target
+	homes [scopeCount]*target
 }
 
 func (gate *Gate) prompt(pool *pool, request *Request) prompt {
 	shared := request.Parts[:max(len(request.Parts)-1, 0)]
 	prompt := prompt{shared: shared, regions: request.Regions}
-	for _, part := range shared {
-		prompt.total += part.Tokens
+	for _, segment := range shared {
+		prompt.total += segment.Tokens
 	}
 	if len(shared) == 0 {
 		return prompt
 	}
 	prompt.homes = gate.homes(pool, request.Regions, shared[len(shared)-1].ID)
-	for scope := scopeOf(prompt.total); scope < scopes && prompt.home == nil; scope++ {
+	for scope := homeScope(prompt.total); scope < scopeCount && prompt.home == nil; scope++ {
 		prompt.home = prompt.homes[scope]
 	}
 	return prompt
 }
 
-// homes returns the homes of a shared part among the targets of some regions: in this
-// failure domain, in this region and in the fleet, nil where a scope has no target. Every
-// daemon there picks the same from the list of targets, so a part is read once without
-// any message about it.
-func (gate *Gate) homes(pool *pool, regions berylspoke.Regions, part uint64) [scopes]*target {
-	var found [scopes]*target
-	var top [scopes]uint64
+// homes returns the homes of a shared segment among the targets of the given regions: in
+// this failure domain, in this region and in the fleet, nil where a scope has no target.
+// Every daemon in the scope derives the same home from the list of targets, so a segment
+// is computed once without any message about it.
+func (gate *Gate) homes(pool *pool, regions berylspoke.Regions, segment uint64) [scopeCount]*target {
+	var found [scopeCount]*target
+	var top [scopeCount]uint64
 	for _, target := range pool.targets {
 		if target.Leaving || !gate.allows(regions, target) {
 			continue
 		}
-		score := mix(part, uint64(target.hash))
-		for scope := target.scope; scope < scopes; scope++ {
+		score := rendezvousScore(segment, uint64(target.hash))
+		for scope := target.scope; scope < scopeCount; scope++ {
 			if found[scope] == nil || score > top[scope] {
 				found[scope], top[scope] = target, score
 			}
@@ -76,99 +77,101 @@
 	return found
 }
 
-// source returns the target from which another one fetches the shared parts that
-// it lacks, nil if nobody is believed to keep them. A token's memory crosses the
-// engines' network in a tenth of the time that reading it takes, and the target
-// reads what the source turns out to lack. The nearest that this daemon sent the
-// same parts to goes before the homes, where others may have sent them; a home
-// fetches from the home of the wider scope, so a new one need not read all it
-// becomes the home of.
-func (gate *Gate) source(now time.Time, pool *pool, to *target, prompt prompt) *target {
-	lacks := prompt.total - to.cached(now, prompt.shared)
-	var sent *target
+// cacheSource returns the target from which another one fetches the shared segments
+// that it lacks, nil if none is assumed to have them. Fetching the KV cache of a token
+// over the engines' network takes a tenth of the time of its prefill, and the target
+// computes what the source turns out to lack. The nearest target that this daemon sent
+// the same segments to precedes the homes, to which other daemons may have sent them. A
+// home fetches from the home of the wider scope, so that a new home need not compute all
+// prefixes that it takes over.
+func (gate *Gate) cacheSource(now time.Time, pool *pool, to *target, prompt prompt) *target {
+	uncached := prompt.total - to.cached(now, prompt.shared)
+	var nearest *target
 	for _, target := range pool.targets {
-		if !gate.allows(prompt.regions, target) || target.cached(now, prompt.shared) < prompt.total || !gate.worthFetching(now, to, target, lacks) {
+		if !gate.allows(prompt.regions, target) || target.cached(now, prompt.shared) < prompt.total || !gate.worthFetching(now, to, target, uncached) {
 			continue
 		}
-		if sent == nil || gate.distanceOf(to, target) < gate.distanceOf(to, sent) {
-			sent = target
+		if nearest == nil || gate.targetScope(to, target) < gate.targetScope(to, nearest) {
+			nearest = target
 		}
 	}
-	if sent != nil {
-		return sent
+	if nearest != nil {
+		return nearest
 	}
-	for scope := scopeOf(prompt.total); scope < scopes; scope++ {
-		if home := prompt.homes[scope]; home != nil && gate.worthFetching(now, to, home, lacks) {
+	for scope := homeScope(prompt.total); scope < scopeCount; scope++ {
+		if home := prompt.homes[scope]; home != nil && gate.worthFetching(now, to, home, uncached) {
 			return home
 		}
 	}
 	return nil
 }
 
-// worthFetching says whether fetching tokens from another target costs less than
-// reading them.
+// worthFetching reports whether fetching tokens from another target costs less than
+// computing them.
 func (gate *Gate) worthFetching(now time.Time, to, from *target, tokens berylspoke.Tokens) bool {
-	least := fetchLeast
-	if gate.distanceOf(to, from) == acrossRegions {
-		least = fetchFar
+	minTokens := minFetchTokens
+	if gate.targetScope(to, from) == fleetScope {
+		minTokens = minCrossRegionFetchTokens
 	}
-	return from != to && tokens >= least && from.answers(now)
+	return from != to && tokens >= minTokens && from.responsive(now)
 }
 
-func (gate *Gate) distanceOf(one, other *target) scope {
-	return gate.distance(one.FailureDomain, other.FailureDomain)
+func (gate *Gate) targetScope(one, other *target) scope {
+	return gate.scopeBetween(one.FailureDomain, other.FailureDomain)
 }
 
-// scopeOf returns among which targets shared tokens have one home.
-func scopeOf(shared berylspoke.Tokens) scope {
+// homeScope returns the scope in which a prompt with the given shared tokens has one
+// home.
+func homeScope(shared berylspoke.Tokens) scope {
 	switch {
-	case shared >= homesBeyond:
-		return acrossRegions
-	case shared >= homesAcross:
-		return acrossDomains
+	case shared >= minFleetHomeTokens:
+		return fleetScope
+	case shared >= minRegionHomeTokens:
+		return regionScope
 	default:
-		return withinDomain
+		return domainScope
 	}
 }
 
-// mix hashes a part and a target for rendezvous hashing.
-func mix(part, target uint64) uint64 {
+// rendezvousScore hashes a segment and a target for rendezvous hashing.
+func rendezvousScore(segment, target uint64) uint64 {
 	var key [16]byte
 	for i := range 8 {
-		key[i], key[8+i] = byte(part>>(8*i)), byte(target>>(8*i))
+		key[i], key[8+i] = byte(segment>>(8*i)), byte(target>>(8*i))
 	}
 	return xxhash.Sum64(key[:])
 }
 
-// holdFor is how long a part is believed to stay in an engine's memory after
-// its last use here; the least recently used yield, and at full load an engine
-// reads its whole memory in about eight seconds.
-const holdFor = 8 * time.Second
-
-// cached returns how much of a prompt the target is believed to keep.
-func (target *target) cached(now time.Time, parts []berylspoke.Part) berylspoke.Tokens {
-	var kept berylspoke.Tokens
-	for _, part := range parts {
-		if seen, known := target.held[part.ID]; !known || now.Sub(seen) > holdFor {
+// cacheLifetime is how long a segment is assumed to stay in an engine's KV cache after
+// this daemon last used it there. Engines evict the least recently used segments, and at
+// full load the prefills of about eight seconds fill the whole cache.
+const cacheLifetime = 8 * time.Second
+
+// cached returns how many leading tokens of a prompt are assumed to be in the target's KV
+// cache.
+func (target *target) cached(now time.Time, segments []berylspoke.Part) berylspoke.Tokens {
+	var cached berylspoke.Tokens
+	for _, segment := range segments {
+		if sentAt, known := target.lastSent[segment.ID]; !known || now.Sub(sentAt) > cacheLifetime {
 			break
 		}
-		kept += part.Tokens
+		cached += segment.Tokens
 	}
-	return kept
+	return cached
 }
 
-// hold remembers the shared parts of a prompt that was sent there.
-func (target *target) hold(now time.Time, parts []berylspoke.Part) {
-	for _, part := range parts {
-		target.held[part.ID] = now
+// recordCached records the shared segments of a prompt that was sent to the target.
+func (target *target) recordCached(now time.Time, segments []berylspoke.Part) {
+	for _, segment := range segments {
+		target.lastSent[segment.ID] = now
 	}
 }
 
-// forget drops what the target no longer keeps.
-func (target *target) forget(now time.Time) {
-	for part, seen := range target.held {
-		if now.Sub(seen) > holdFor {
-			delete(target.held, part)
+// expireCached drops the segments that the target is assumed to have evicted.
+func (target *target) expireCached(now time.Time) {
+	for segment, sentAt := range target.lastSent {
+		if now.Sub(sentAt) > cacheLifetime {
+			delete(target.lastSent, segment)
 		}
 	}
 }
--- a/core/berylgate/refusal.go
+++ b/core/berylgate/refusal.go
@@ -1,6 +1,6 @@
 package berylgate
 
-// This file defines refusals and when a refused caller may come back.
+// This file defines refusals and when a refused caller may retry.
 
 import (
 	"time"
@@ -9,35 +9,34 @@
 )
 
 const (
-	// shortWait is when a caller may come back after a refusal that says nothing
-	// of the load.
-	shortWait = 300 * time.Millisecond
-	// waitMost bounds the time a caller is told to stay away.
-	waitMost = 3 * time.Second
-	// returnPart is the part of its objective after which a refused caller may come
-	// back, overPart the same for one whose organisation is beyond its share. Up to as
-	// much again is added at random. The objective runs from the caller's first
-	// attempt, and one that returns after it can only be answered late.
-	returnPart = 0.1
-	overPart   = 0.2
+	// defaultRetryAfter is the retry delay of refusals that do not depend on the load.
+	defaultRetryAfter = 300 * time.Millisecond
+	// maxRetryAfter bounds the retry delay.
+	maxRetryAfter = 3 * time.Second
+	// retryAfterShare is the part of its objective after which a refused caller may
+	// retry, overLevelRetryAfterShare the same if its organisation is beyond its level.
+	// Up to as much again is added at random. The objective runs from the caller's first
+	// attempt, so a retry after it can only be answered late.
+	retryAfterShare          = 0.1
+	overLevelRetryAfterShare = 0.2
 )
 
-// overloaded refuses a request for which no target has room. The caller is told
-// to come back while it can still be answered in time, at a time drawn at random so
-// that those refused together do not return together. If the queue is longer than
-// that, it is told when the queue should have drained.
-func (gate *Gate) overloaded(request *Request, best candidate, allowance allowance) *berylspoke.Refusal {
-	part := returnPart
-	if allowance.over {
-		part = overPart
+// refuseOverload refuses a request for which no target has room. The caller is told to
+// retry while it can still be answered in time, after a random delay so that callers
+// refused together do not retry together. If the queue is longer than that, the caller is
+// told when it should have drained.
+func (gate *Gate) refuseOverload(request *Request, best candidate, allowance allowance) *berylspoke.Refusal {
+	share := retryAfterShare
+	if allowance.overLevel {
+		share = overLevelRetryAfterShare
 	}
-	wait := time.Duration(part * float64(request.Objective))
-	if !allowance.over {
-		wait = max(wait, duration(best.expected-allowance.limit))
+	wait := time.Duration(share * float64(request.Objective))
+	if !allowance.overLevel {
+		wait = max(wait, duration(best.expectedMillis-allowance.limitMillis))
 	}
-	wait += time.Duration(gate.random.Float64() * float64(wait))
+	wait += time.Duration(gate.rng.Float64() * float64(wait))
 	return &berylspoke.Refusal{
-		Verdict: berylspoke.NotRun, Reason: berylspoke.ReasonOverload, RetryAfter: min(wait, waitMost),
+		Verdict: berylspoke.NotRun, Reason: berylspoke.ReasonOverload, RetryAfter: min(wait, maxRetryAfter),
 	}
 }
 
--- a/core/berylgate/report.go
+++ b/core/berylgate/report.go
@@ -1,6 +1,6 @@
 package berylgate
 
-// This file defines what daemons tell each other of their dispatches.
+// This file defines the reports of dispatches that daemons exchange.
 
 import (
 	"maps"
@@ -13,60 +13,63 @@
 )
 
 const (
-	// reportStale is the age at which a peer's report no longer counts: its
-	// daemon is gone or out of reach.
-	reportStale = 2 * time.Second
-	// urgentWork is the work in milliseconds of a dispatch that is reported at once.
-	// Whoever is sent behind such a prompt by a daemon that does not know of it waits
-	// so much longer than expected, which is the whole objective of short requests.
-	urgentWork = 40.0
-	// rateLeast is the rate in tokens a second below which it is not reported.
-	rateLeast = 20.0
+	// reportMaxAge is the age at which a peer's report no longer counts: its daemon is
+	// gone or unreachable.
+	reportMaxAge = 2 * time.Second
+	// urgentMillis is the work of a dispatch that is reported at once. A request that
+	// another daemon unknowingly sends behind such a prompt waits that much longer than
+	// expected, which can be the whole objective of a short request.
+	urgentMillis = 40.0
+	// minReportedRate is the demand in tokens per second below which an organisation is
+	// not reported.
+	minReportedRate = 20.0
 )
 
-// Report is what one daemon has at the targets and gave to organisations.
+// Report describes one daemon's requests at targets and its usage by organisations.
 type Report struct {
 	Incarnation berylspoke.Incarnation
-	// Feeds are the revisions that the sender is complete up to.
+	// Feeds are the revisions up to which the sender's feeds are complete.
 	Feeds []berylspoke.Revision
-	// Contact is how long ago the store answered the sender, or a daemon that it
-	// heard of; ContactID tells such answers apart.
+	// Contact is the age of the newest answer of the store that the sender knows of, to
+	// itself or another daemon; ContactID tells such answers apart.
 	Contact   time.Duration
 	ContactID berylfeed.ContactID
-	// Targets is what the sender has at the targets; Loads are what targets told
-	// it of themselves since its last report. A large fleet tells only loads, as a
-	// daemon would hear of a small part of what the others sent.
+	// Targets describes the sender's requests at targets; Loads holds the loads that
+	// targets reported to it since its last report. In a large fleet only loads are
+	// reported, as a daemon would learn of a small part of what the others sent.
 	Targets []TargetReport
 	Loads   []LoadReport
-	// Organisations is empty in a large fleet, which sums them up by Usage.
+	// Organisations is empty in a large fleet, where Usage messages sum up organisations.
 	Organisations []OrganisationReport
 }
 
-// TargetReport is a daemon's part of one target.
+// TargetReport describes one daemon's requests at one target.
 type TargetReport struct {
 	Target uint32
-	// Work is all prefill work in milliseconds ever sent there, so a lost report
-	// is made up for by the next one.
-	Work    uint64
+	// All prefill work in milliseconds ever sent there, so that the next report makes up
+	// for a lost one.
+	Work uint64
+	// Running and Tokens are the sender's requests there and the KV cache tokens that
+	// they use.
 	Running int
 	Tokens  berylspoke.Tokens
-	// Pending is the work in milliseconds of the requests there that have not
-	// begun to answer.
+	// The work in milliseconds of the requests there whose answers have not started.
 	Pending uint32
 }
 
-// LoadReport is the load that a target told with an answer some time ago.
+// LoadReport is the load that a target reported with an answer, and the age of that
+// answer.
 type LoadReport struct {
 	Target           uint32
 	Running, Waiting int
 	Age              time.Duration
 }
 
-// OrganisationReport is the usage by one organisation in tokens a second.
+// OrganisationReport is the usage of one organisation in tokens per second.
 type OrganisationReport struct {
 	Organisation uint32
 	Asked, Given uint32
-	// Short says that a VM with too little processor time turned callers of it away.
+	// Whether a CPU-starved VM rejected callers of the organisation.
 	Short bool
 }
 
@@ -79,38 +82,39 @@
 
 var _ berylspoke.Message = Report{}
 
-// peer is the last report of one daemon.
+// peer holds the last report of one daemon.
 type peer struct {
-	vm     berylspoke.VMID
-	report Report
-	at     time.Time
-	work   map[uint32]uint64
+	vm         berylspoke.VMID
+	report     Report
+	receivedAt time.Time
+	// workMillis is the work that it reported for each target, by the target's hash.
+	workMillis map[uint32]uint64
 }
 
-// Report returns this daemon's report.
+// Report returns this daemon's report to its peers.
 func (gate *Gate) Report(now time.Time) Report {
 	report := Report{Incarnation: gate.options.Incarnation}
-	if gate.sampled() {
-		report.Loads = gate.newLoads(now, gate.reported)
+	if gate.largeFleet() {
+		report.Loads = gate.loadReports(now, gate.lastReport)
 	} else {
-		report.Targets = gate.dispatches()
+		report.Targets = gate.targetReports()
 		report.Organisations = gate.newUsage(DaemonUsage, gate.ownUsage(now)).Organisations
 	}
-	gate.reported, gate.urgent = now, false
+	gate.lastReport, gate.urgent = now, false
 	return report
 }
 
-// Urgent says whether a report should not wait until it is due. In a large fleet
-// only the targets themselves tell of what others sent.
-func (gate *Gate) Urgent() bool { return gate.urgent && !gate.sampled() }
+// Urgent reports whether a report should be sent before it is due. In a large fleet none
+// is urgent, as only the loads of the targets show what others sent.
+func (gate *Gate) Urgent() bool { return gate.urgent && !gate.largeFleet() }
 
-// newLoads returns what targets told this daemon itself after some time. What
-// others told is not passed on: that would multiply the bytes by the number of
-// links, and the peers' own word covers each target often enough.
-func (gate *Gate) newLoads(now, after time.Time) []LoadReport {
+// loadReports returns the loads that targets reported to this daemon after the given
+// time. Loads that peers reported are not forwarded: that would multiply the bytes by the
+// number of links, and the peers' own reports cover each target often enough.
+func (gate *Gate) loadReports(now, since time.Time) []LoadReport {
 	var loads []LoadReport
 	for _, target := range gate.sorted {
-		if own := target.toldHere; own.at.After(after) {
+		if own := target.directLoad; own.at.After(since) {
 			loads = append(loads, LoadReport{
 				Target: target.hash, Running: own.running, Waiting: own.waiting, Age: now.Sub(own.at),
 			})
@@ -119,115 +123,116 @@
 	return loads
 }
 
-// dispatches returns what this daemon has at the targets.
-func (gate *Gate) dispatches() []TargetReport {
+// targetReports returns this daemon's requests at the targets.
+func (gate *Gate) targetReports() []TargetReport {
 	var reports []TargetReport
 	for _, target := range gate.sorted {
-		if target.sentWork > 0 || target.running > 0 {
+		if target.sentMillis > 0 || target.running > 0 {
 			reports = append(reports, TargetReport{
-				Target: target.hash, Work: uint64(target.sentWork), Running: target.running, Tokens: target.tokens, Pending: uint32(target.pending),
+				Target: target.hash, Work: uint64(target.sentMillis), Running: target.running, Tokens: target.kvTokens, Pending: uint32(target.pendingMillis),
 			})
 		}
 	}
 	return reports
 }
 
-// Heard takes a peer's report. The work that it sent since its last one is
-// added to the queues of the targets. Of a peer that was not heard of before, it is
-// what has not begun yet: after a restart of the whole fleet all first reports tell
-// of a flood, and daemons that took them for old news sent theirs on top.
+// Heard applies a peer's report. The work that the peer sent since its previous report is
+// added to the queues of the targets. For a peer without a previous report it is the work
+// whose answers have not started: after a restart of the whole fleet all first reports
+// describe a flood of requests, and daemons that ignored it as old work sent theirs on
+// top of it.
 func (gate *Gate) Heard(now time.Time, from berylspoke.VMID, report Report) {
-	known := gate.peer(from, report.Incarnation)
+	sender := gate.peer(from, report.Incarnation)
 	for _, item := range report.Targets {
-		target := gate.hashes[item.Target]
-		sent := float64(item.Pending)
-		if before, seen := known.work[item.Target]; seen {
-			sent = float64(item.Work) - float64(before)
+		target := gate.byHash[item.Target]
+		sentMillis := float64(item.Pending)
+		if before, seen := sender.workMillis[item.Target]; seen {
+			sentMillis = float64(item.Work) - float64(before)
 		}
-		known.work[item.Target] = item.Work
-		if target != nil && sent > 0 {
+		sender.workMillis[item.Target] = item.Work
+		if target != nil && sentMillis > 0 {
 			target.drain(now)
-			target.backlog += sent
-			target.reported += sent
+			target.backlogMillis += sentMillis
+			target.inflowMillis += sentMillis
 		}
 	}
 	for _, item := range report.Loads {
-		if target := gate.hashes[item.Target]; target != nil {
-			target.tell(now, load{now.Add(-item.Age), item.Running, item.Waiting})
+		if target := gate.byHash[item.Target]; target != nil {
+			target.adoptLoad(now, load{now.Add(-item.Age), item.Running, item.Waiting})
 		}
 	}
-	known.report, known.at = report, now
+	sender.report, sender.receivedAt = report, now
 	gate.sumOthers(now)
 }
 
-// peer returns the peer of one life of a daemon, a new one if need be.
+// peer returns the state of one incarnation of a daemon, a new one if need be.
 func (gate *Gate) peer(from berylspoke.VMID, incarnation berylspoke.Incarnation) *peer {
-	place, found := slices.BinarySearchFunc(gate.peers, from, func(peer *peer, vm berylspoke.VMID) int {
+	index, found := slices.BinarySearchFunc(gate.peers, from, func(peer *peer, vm berylspoke.VMID) int {
 		return strings.Compare(string(peer.vm), string(vm))
 	})
-	if found && gate.peers[place].report.Incarnation == incarnation {
-		return gate.peers[place]
+	if found && gate.peers[index].report.Incarnation == incarnation {
+		return gate.peers[index]
 	}
-	fresh := &peer{vm: from, work: make(map[uint32]uint64)}
+	created := &peer{vm: from, workMillis: make(map[uint32]uint64)}
 	if found {
-		gate.peers[place] = fresh
+		gate.peers[index] = created
 	} else {
-		gate.peers = slices.Insert(gate.peers, place, fresh)
+		gate.peers = slices.Insert(gate.peers, index, created)
 	}
-	return fresh
+	return created
 }
 
-// sampled says whether the fleet is so large that a daemon hears only some of
-// the others.
-func (gate *Gate) sampled() bool { return gate.live-1 > FullMesh }
+// largeFleet reports whether the fleet is so large that a daemon receives reports of only
+// some of the others.
+func (gate *Gate) largeFleet() bool { return gate.live-1 > FullMesh }
 
-// FullMesh is the number of peers up to which a daemon tells all of them what
-// it dispatched; in larger fleets it tells its links.
+// FullMesh is the number of peers up to which a daemon sends its reports to all of them;
+// in larger fleets it sends them to its links.
 const FullMesh = 12
 
-// sumOthers adds up what the other daemons have at each target.
+// sumOthers sums up the requests of the other daemons at each target.
 func (gate *Gate) sumOthers(now time.Time) {
 	for _, target := range gate.sorted {
 		target.others = occupancy{}
-		if gate.sampled() {
-			target.others = target.toldOthers(now)
+		if gate.largeFleet() {
+			target.others = target.othersFromLoad(now)
 		}
 	}
-	gate.peers = slices.DeleteFunc(gate.peers, func(peer *peer) bool { return now.Sub(peer.at) > reportStale })
+	gate.peers = slices.DeleteFunc(gate.peers, func(peer *peer) bool { return now.Sub(peer.receivedAt) > reportMaxAge })
 	for _, peer := range gate.peers {
 		for _, item := range peer.report.Targets {
-			if target := gate.hashes[item.Target]; target != nil {
+			if target := gate.byHash[item.Target]; target != nil {
 				target.others.running += item.Running
-				target.others.tokens += item.Tokens
-				target.others.pending += float64(item.Pending)
+				target.others.kvTokens += item.Tokens
+				target.others.pendingMillis += float64(item.Pending)
 			}
 		}
 	}
 }
 
-// total is what one organisation asked for and was given by all daemons, and whether
-// the processor time of a VM holds it back.
+// total is the usage of one organisation summed over daemons, and whether it is limited
+// by the CPU of a VM.
 type total struct {
-	asked, given float64
-	short        bool
+	demand, served float64
+	cpuLimited     bool
 }
 
 func (sum total) plus(more total) total {
-	return total{sum.asked + more.asked, sum.given + more.given, sum.short || more.short}
+	return total{sum.demand + more.demand, sum.served + more.served, sum.cpuLimited || more.cpuLimited}
 }
 
 // totals returns the usage of all organisations in the fleet.
 func (gate *Gate) totals(now time.Time) map[uint32]total {
 	gate.shares.others = gate.others(now)
 	totals := maps.Clone(gate.shares.others)
-	add(totals, gate.ownUsage(now))
+	addTotals(totals, gate.ownUsage(now))
 	return totals
 }
 
 // others returns the usage of organisations at the other daemons.
 func (gate *Gate) others(now time.Time) map[uint32]total {
-	if gate.sampled() {
-		return gate.sampledOthers(now)
+	if gate.largeFleet() {
+		return gate.largeFleetOthers(now)
 	}
 	others := make(map[uint32]total)
 	for _, peer := range gate.peers {
@@ -238,7 +243,8 @@
 	return others
 }
 
-// given returns what an organisation is given by all daemons in tokens a second.
-func (gate *Gate) given(now time.Time, organisation uint32) float64 {
-	return gate.shares.usage(organisation).given.now(now) + gate.shares.others[organisation].given
+// served returns the rate at which all daemons serve an organisation, in tokens per
+// second.
+func (gate *Gate) served(now time.Time, organisation uint32) float64 {
+	return gate.shares.usage(organisation).served.now(now) + gate.shares.others[organisation].served
 }
--- a/core/berylgate/usage.go
+++ b/core/berylgate/usage.go
@@ -1,6 +1,6 @@
 package berylgate
 
-// This file defines how a large fleet sums up what organisations ask and get.
+// This file defines how a large fleet sums up the usage of organisations.
 
 import (
 	"cmp"
@@ -12,20 +12,20 @@
 )
 
 const (
-	// usageEvery is the time between two reports of organisations' usage in a large
-	// fleet. Three of them lie on the way from one daemon to all, so the sum is a
-	// second old on average, less than the window that rates are means over.
-	usageEvery = 700 * time.Millisecond
-	// usageStale is the age at which what was told no longer counts: two reports
-	// were lost, or their sender is gone.
-	usageStale = 3*usageEvery + 200*time.Millisecond
-	// usageMost bounds the organisations in one report: those that ask most. The
-	// others are far below the level that all may have.
-	usageMost = 128
-	// usageLeast is the part of the throughput that an organisation must ask for to
-	// be named in the fleet's sum. All others together are one figure: none of
-	// them can be beyond its share.
-	usageLeast = 0.01
+	// usageInterval is the time between two usage reports in a large fleet. Usage takes
+	// three reports from one daemon to all, so the sum is a second old on average, less
+	// than the window that rates are means over.
+	usageInterval = 700 * time.Millisecond
+	// usageMaxAge is the age at which received usage no longer counts: two reports were
+	// lost, or their sender is gone.
+	usageMaxAge = 3*usageInterval + 200*time.Millisecond
+	// maxOrganisations bounds the organisations in one report to those with the highest
+	// demand. The others are far below the level that all may have.
+	maxOrganisations = 128
+	// minDemandShare is the part of the throughput that an organisation must demand to be
+	// listed in the fleet's sum. All others together are one figure: none of them can be
+	// beyond its share.
+	minDemandShare = 0.01
 )
 
 // Extent says whose usage a report sums up.
@@ -38,13 +38,13 @@
 	FleetUsage
 )
 
-// Usage is what organisations ask and get at one daemon, in one failure domain
-// or in the fleet.
+// Usage is the demand and the service of organisations at one daemon, in one failure
+// domain or in the fleet.
 type Usage struct {
 	Extent        Extent
 	Domain        berylspoke.FailureDomain
 	Organisations []OrganisationReport
-	// Rest is what all others together ask, in tokens a second.
+	// Rest is the demand of all other organisations together, in tokens per second.
 	Rest uint32
 }
 
@@ -53,55 +53,55 @@
 
 var _ berylspoke.Message = Usage{}
 
-// collected is what was told of organisations, by its sender and its extent.
-// Sampling a few peers would not do: all callers of an organisation may come to
-// one daemon or one failure domain, and a sample misses them or counts them
-// many times over.
-type collected struct {
-	daemons map[berylspoke.VMID]heardUsage
-	domains map[berylspoke.FailureDomain]heardUsage
-	fleet   heardUsage
-	// told is this daemon's own part as the fleet's sum holds it.
-	told heardUsage
+// collectedUsage is the usage received from peers, by its sender and its extent. Sampling
+// a few peers would not do: all callers of an organisation may connect to one daemon or
+// one failure domain, and a sample misses them or counts them many times over.
+type collectedUsage struct {
+	daemons map[berylspoke.VMID]receivedUsage
+	domains map[berylspoke.FailureDomain]receivedUsage
+	fleet   receivedUsage
+	// reportedOwn is this daemon's own usage as last reported, which is part of the
+	// fleet's sum.
+	reportedOwn receivedUsage
 	// collects says that this daemon sums up its failure domain.
 	collects bool
 	due      time.Time
 }
 
-// heardUsage is one report and when it came.
-type heardUsage struct {
-	at            time.Time
+// receivedUsage is one usage report and when it was received.
+type receivedUsage struct {
+	receivedAt    time.Time
 	organisations map[uint32]total
-	rest          float64
+	restDemand    float64
 }
 
-func (heard heardUsage) fresh(now time.Time) bool { return now.Sub(heard.at) <= usageStale }
+func (usage receivedUsage) fresh(now time.Time) bool { return now.Sub(usage.receivedAt) <= usageMaxAge }
 
-func newCollected() collected {
-	return collected{
-		daemons: make(map[berylspoke.VMID]heardUsage), domains: make(map[berylspoke.FailureDomain]heardUsage),
+func newCollected() collectedUsage {
+	return collectedUsage{
+		daemons: make(map[berylspoke.VMID]receivedUsage), domains: make(map[berylspoke.FailureDomain]receivedUsage),
 	}
 }
 
-// UsageReports are what one daemon tells of usage at a time; those that are nil
-// are not due or not its to tell.
+// UsageReports are the usage reports that a daemon sends at a time; those that are nil
+// are not due or not sent by this daemon.
 type UsageReports struct {
-	// ToCollectors goes to the collectors of the daemon's own failure domain,
+	// ToCollectors is sent to the collectors of the daemon's own failure domain,
 	// ToDomains to those of the others, ToMembers to the daemons of its own.
 	ToCollectors, ToDomains, ToMembers *Usage
 }
 
-// UsageReports returns what is to be told now; collects says whether this daemon
-// sums up its failure domain.
+// UsageReports returns the reports that are due; collects says whether this daemon sums
+// up its failure domain.
 func (gate *Gate) UsageReports(now time.Time, collects bool) UsageReports {
-	held := &gate.collected
-	held.collects = collects
-	if now.Before(held.due) {
+	collected := &gate.collected
+	collected.collects = collects
+	if now.Before(collected.due) {
 		return UsageReports{}
 	}
-	held.due = now.Add(usageEvery)
+	collected.due = now.Add(usageInterval)
 	own := gate.ownUsage(now)
-	held.told = heardUsage{at: now, organisations: own}
+	collected.reportedOwn = receivedUsage{receivedAt: now, organisations: own}
 	if !collects {
 		return UsageReports{ToCollectors: gate.newUsage(DaemonUsage, own)}
 	}
@@ -114,118 +114,119 @@
 	}
 }
 
-// ownUsage returns what organisations ask this daemon for and are given.
+// ownUsage returns the usage of organisations at this daemon and drops those with hardly
+// any demand.
 func (gate *Gate) ownUsage(now time.Time) map[uint32]total {
 	own := make(map[uint32]total, len(gate.shares.own))
 	for organisation, usage := range gate.shares.own {
-		asked := usage.asked.now(now)
-		if asked < rateLeast {
+		demand := usage.demand.now(now)
+		if demand < minReportedRate {
 			delete(gate.shares.own, organisation)
 			continue
 		}
-		own[organisation] = total{asked, usage.given.now(now), now.Before(usage.short)}
+		own[organisation] = total{demand, usage.served.now(now), now.Before(usage.cpuLimitedUntil)}
 	}
 	return own
 }
 
-// domainUsage returns the sum over this daemon and those that told it.
+// domainUsage returns the sum over this daemon and those that reported to it.
 func (gate *Gate) domainUsage(now time.Time) map[uint32]total {
 	sum := gate.ownUsage(now)
-	for vm, heard := range gate.collected.daemons {
-		if !heard.fresh(now) {
+	for vm, received := range gate.collected.daemons {
+		if !received.fresh(now) {
 			delete(gate.collected.daemons, vm)
 			continue
 		}
-		add(sum, heard.organisations)
+		addTotals(sum, received.organisations)
 	}
 	return sum
 }
 
-// fleetUsage returns the sum over all failure domains that are heard of.
+// fleetUsage returns the sum over all failure domains with a recent report.
 func (gate *Gate) fleetUsage(now time.Time, domain map[uint32]total) map[uint32]total {
 	sum := maps.Clone(domain)
-	for _, heard := range gate.collected.domains {
-		if heard.fresh(now) {
-			add(sum, heard.organisations)
+	for _, received := range gate.collected.domains {
+		if received.fresh(now) {
+			addTotals(sum, received.organisations)
 		}
 	}
 	return sum
 }
 
-func add(sum, organisations map[uint32]total) {
+func addTotals(sum, organisations map[uint32]total) {
 	for organisation, more := range organisations {
 		sum[organisation] = sum[organisation].plus(more)
 	}
 }
 
-// newUsage returns the report of those that ask most.
+// newUsage returns a report of the organisations with the highest demand.
 func (gate *Gate) newUsage(extent Extent, organisations map[uint32]total) *Usage {
 	usage := &Usage{Extent: extent, Domain: gate.options.FailureDomain}
-	least := 0.0
+	minDemand := 0.0
 	if extent == FleetUsage {
-		least = usageLeast * float64(gate.capacity)
+		minDemand = minDemandShare * float64(gate.capacity)
 	}
 	for organisation, sum := range organisations {
-		if sum.asked < least {
-			usage.Rest += uint32(sum.asked)
+		if sum.demand < minDemand {
+			usage.Rest += uint32(sum.demand)
 			continue
 		}
 		usage.Organisations = append(usage.Organisations, OrganisationReport{
-			Organisation: organisation, Asked: uint32(sum.asked), Given: uint32(sum.given), Short: sum.short,
+			Organisation: organisation, Asked: uint32(sum.demand), Given: uint32(sum.served), Short: sum.cpuLimited,
 		})
 	}
 	slices.SortFunc(usage.Organisations, func(one, other OrganisationReport) int {
 		return cmp.Or(cmp.Compare(other.Asked, one.Asked), cmp.Compare(one.Organisation, other.Organisation))
 	})
-	kept := min(len(usage.Organisations), usageMost)
-	for _, small := range usage.Organisations[kept:] {
+	count := min(len(usage.Organisations), maxOrganisations)
+	for _, small := range usage.Organisations[count:] {
 		usage.Rest += small.Asked
 	}
-	usage.Organisations = usage.Organisations[:kept]
+	usage.Organisations = usage.Organisations[:count]
 	return usage
 }
 
-// HeardUsage takes what a peer told of organisations.
+// HeardUsage stores a peer's report of usage.
 func (gate *Gate) HeardUsage(now time.Time, from berylspoke.VMID, usage Usage) {
-	heard := heardUsage{now, make(map[uint32]total, len(usage.Organisations)), float64(usage.Rest)}
+	received := receivedUsage{now, make(map[uint32]total, len(usage.Organisations)), float64(usage.Rest)}
 	for _, item := range usage.Organisations {
-		heard.organisations[item.Organisation] = item.total()
+		received.organisations[item.Organisation] = item.total()
 	}
 	switch usage.Extent {
 	case DaemonUsage:
-		gate.collected.daemons[from] = heard
+		gate.collected.daemons[from] = received
 	case DomainUsage:
 		if usage.Domain != gate.options.FailureDomain {
-			gate.collected.domains[usage.Domain] = heard
+			gate.collected.domains[usage.Domain] = received
 		}
 	case FleetUsage:
-		gate.collected.fleet = heard
+		gate.collected.fleet = received
 	}
 }
 
-// sampledOthers returns what the other daemons of a large fleet have. Without any
-// word of the fleet's sum nobody is held to a share: what is admitted is bounded
-// by the queues before the targets alone.
-func (gate *Gate) sampledOthers(now time.Time) map[uint32]total {
-	held := &gate.collected
-	gate.shares.rest = 0
-	if held.collects {
+// largeFleetOthers returns the usage at the other daemons of a large fleet. Without a
+// recent sum of the fleet no organisation is limited to a share: only the queues at the
+// targets bound what is admitted.
+func (gate *Gate) largeFleetOthers(now time.Time) map[uint32]total {
+	collected := &gate.collected
+	gate.shares.restDemand = 0
+	if collected.collects {
 		own := gate.ownUsage(now)
-		return without(gate.fleetUsage(now, gate.domainUsage(now)), own)
+		return subtract(gate.fleetUsage(now, gate.domainUsage(now)), own)
 	}
-	if !held.fleet.fresh(now) {
+	if !collected.fleet.fresh(now) {
 		return make(map[uint32]total)
 	}
-	gate.shares.rest = held.fleet.rest
-	return without(held.fleet.organisations, held.told.organisations)
+	gate.shares.restDemand = collected.fleet.restDemand
+	return subtract(collected.fleet.organisations, collected.reportedOwn.organisations)
 }
 
-// without returns a sum less one part of it.
-func without(sum, part map[uint32]total) map[uint32]total {
-	rest := make(map[uint32]total, len(sum))
-	for organisation, all := range sum {
-		less := part[organisation]
-		rest[organisation] = total{max(all.asked-less.asked, 0), max(all.given-less.given, 0), all.short}
+// subtract returns a sum without one part of it.
+func subtract(sum, part map[uint32]total) map[uint32]total {
+	difference := make(map[uint32]total, len(sum))
+	for organisation, whole := range sum {
+		subtracted := part[organisation]
+		difference[organisation] = total{max(whole.demand-subtracted.demand, 0), max(whole.served-subtracted.served, 0), whole.cpuLimited}
 	}
-	return rest
+	return difference
 }
